--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/LossNotices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/LossNotices.java
@@ -65,7 +65,7 @@
                 LogEvent.QUARANTINE_STRIKE,
                 Long.toHexString(notice.fingerprint()),
                 backend,
-                notice.struck().size());
+                notice.crashedBackends().size());
         mBlackboard
                 .suspects()
                 .read(table -> table.quarantinedMillis(notice.fingerprint(), mClock.millis()))
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
@@ -8,13 +8,13 @@
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 
 /** What this host's requests hold: attempts on backend servers, and room asked for. */
 public final class RequestTable {
 
     private final Map<AttemptId, BackendId> mRunning = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mAsked = new HashMap<>();
+    private final Map<AttemptId, GrantRequest> mAsked = new HashMap<>();
     private int mInFlight;
 
     /** Counts a caller's request that came in ({@code 1}) or ended ({@code -1}). */
@@ -38,7 +38,7 @@
     }
 
     /** Notes that room was asked for. */
-    public void asked(GrantAsk ask) {
+    public void asked(GrantRequest ask) {
         mAsked.put(ask.attempt(), ask);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Returns the room asked for on a backend server, to tell a new owner. */
-    public List<GrantAsk> askedOn(BackendId backend) {
+    public List<GrantRequest> askedOn(BackendId backend) {
         return mAsked.values().stream()
                 .filter(ask -> ask.backend().equals(backend))
                 .collect(Collectors.toList());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -9,8 +9,8 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 import org.cyclamenpaddle.engine.plain.PlainRequest;
@@ -42,7 +42,7 @@
     interface OwnClaims {
 
         /** Answers an ask, leaving out the attempt that asks. */
-        ClaimAnswer answer(ClaimAsk ask, Optional<AttemptId> asking);
+        ClaimResponse answer(ClaimRequest ask, Optional<AttemptId> asking);
     }
 
     BookingRun(
@@ -90,10 +90,10 @@
             mServices.claims().claim(write.claim(), verdict -> feed(verdict.event()));
         } else if (effect instanceof BookingEffect.Dispatch dispatch) {
             dispatch(dispatch);
-        } else if (effect instanceof BookingEffect.AskClaimer ask) {
+        } else if (effect instanceof BookingEffect.QueryClaimHolder ask) {
             askClaimer(ask);
-        } else if (effect instanceof BookingEffect.AskPeers ask) {
-            askPeers(ask.ask());
+        } else if (effect instanceof BookingEffect.QueryPeers ask) {
+            askPeers(ask.request());
         } else if (effect instanceof BookingEffect.RecordOutcome outcome) {
             mServices.claims().outcome(outcome.claim(), outcome.outcome());
         } else if (effect instanceof BookingEffect.WakeAt wake) {
@@ -147,7 +147,7 @@
             record(DecisionStep.CALL_SENT, backend.id() + ": status " + answered.status());
             take(
                     new BookingEvent.ResponseComplete(
-                            new ClaimAnswer.KeptAnswer(
+                            new ClaimResponse.StoredResponse(
                                     answered.status(),
                                     answered.contentType(),
                                     Bookings.text(answered.body()))));
@@ -163,37 +163,39 @@
         }
     }
 
-    private void askClaimer(BookingEffect.AskClaimer ask) {
+    private void askClaimer(BookingEffect.QueryClaimHolder ask) {
         record(DecisionStep.CLAIM, "ask " + ask.holder());
         if (ask.holder().equals(mServices.self())) {
-            take(new BookingEvent.ClaimerAnswered(ownAnswer(ask.ask())));
+            take(new BookingEvent.ClaimHolderResponded(ownAnswer(ask.request())));
             return;
         }
         mServices
                 .claimers()
-                .ask(ask.holder(), ask.ask())
+                .ask(ask.holder(), ask.request())
                 .thenAccept(
                         found ->
                                 feed(
-                                        found.<BookingEvent>map(BookingEvent.ClaimerAnswered::new)
-                                                .orElseGet(BookingEvent.ClaimerUnreachable::new)));
+                                        found.<BookingEvent>map(
+                                                        BookingEvent.ClaimHolderResponded::new)
+                                                .orElseGet(
+                                                        BookingEvent.ClaimHolderUnreachable::new)));
     }
 
-    private void askPeers(ClaimAsk ask) {
+    private void askPeers(ClaimRequest ask) {
         record(DecisionStep.CLAIM, "platform away, ask all hosts");
-        ClaimAnswer own = ownAnswer(ask);
+        ClaimResponse own = ownAnswer(ask);
         mServices
                 .claimers()
                 .askAll(ask)
                 .thenAccept(
                         answers -> {
-                            List<ClaimAnswer.State> states = new ArrayList<>(answers.states());
+                            List<ClaimResponse.State> states = new ArrayList<>(answers.states());
                             states.add(own.state());
-                            feed(new BookingEvent.PeersAnswered(states, answers.complete()));
+                            feed(new BookingEvent.PeersResponded(states, answers.complete()));
                         });
     }
 
-    private ClaimAnswer ownAnswer(ClaimAsk ask) {
+    private ClaimResponse ownAnswer(ClaimRequest ask) {
         return mOwnClaims.answer(ask, Optional.of(mMachine.claim().attempt()));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimerLink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimerLink.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 
 /** Asks other hosts about keys. */
 public interface ClaimerLink {
@@ -16,7 +16,7 @@
      * @param states what each one that answered knows
      * @param complete whether every host of the view answered and none was lost lately
      */
-    record Answers(List<ClaimAnswer.State> states, boolean complete) {
+    record Answers(List<ClaimResponse.State> states, boolean complete) {
 
         public Answers {
             states = List.copyOf(states);
@@ -24,10 +24,10 @@
     }
 
     /** Completes with a holder's answer; empty if that incarnation is dead or does not answer. */
-    CompletableFuture<Optional<ClaimAnswer>> ask(Incarnation holder, ClaimAsk ask);
+    CompletableFuture<Optional<ClaimResponse>> ask(Incarnation holder, ClaimRequest ask);
 
     /** Completes with what every other host of the view knows. */
-    CompletableFuture<Answers> askAll(ClaimAsk ask);
+    CompletableFuture<Answers> askAll(ClaimRequest ask);
 
     /** Returns whether some host's memory was lost within the span that ends now. */
     boolean lostLately(long spanMillis);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimers.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.router.grant.PeerLink;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public CompletableFuture<Optional<ClaimAnswer>> ask(Incarnation holder, ClaimAsk ask) {
+    public CompletableFuture<Optional<ClaimResponse>> ask(Incarnation holder, ClaimRequest ask) {
         Optional<HostRecord> host =
                 mMembership
                         .record(holder.host())
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public CompletableFuture<Answers> askAll(ClaimAsk ask) {
+    public CompletableFuture<Answers> askAll(ClaimRequest ask) {
         Incarnation self = mMembership.self().incarnation();
         List<HostRecord> others =
                 mMembership.hosts().stream()
@@ -65,7 +65,7 @@
         if (hopeless) {
             return CompletableFuture.completedFuture(new Answers(List.of(), false));
         }
-        List<CompletableFuture<Optional<ClaimAnswer>>> asked =
+        List<CompletableFuture<Optional<ClaimResponse>>> asked =
                 others.stream().map(host -> ask(host, ask)).collect(Collectors.toList());
         return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
                 .thenApply(done -> answers(asked));
@@ -76,23 +76,23 @@
         return mMembership.lostLately(spanMillis);
     }
 
-    private Answers answers(List<CompletableFuture<Optional<ClaimAnswer>>> asked) {
-        List<ClaimAnswer.State> states =
+    private Answers answers(List<CompletableFuture<Optional<ClaimResponse>>> asked) {
+        List<ClaimResponse.State> states =
                 asked.stream()
                         .flatMap(answer -> answer.join().stream())
-                        .map(ClaimAnswer::state)
+                        .map(ClaimResponse::state)
                         .collect(Collectors.toList());
         // Read after the answers: a host lost meanwhile may be the one that knew.
         boolean complete = states.size() == asked.size() && !lostLately(mRetentionMillis);
         return new Answers(states, complete);
     }
 
-    private CompletableFuture<Optional<ClaimAnswer>> ask(HostRecord host, ClaimAsk ask) {
+    private CompletableFuture<Optional<ClaimResponse>> ask(HostRecord host, ClaimRequest ask) {
         return mPeers.ask(host, ask, ASK_MILLIS)
                 .thenApply(
                         answer ->
                                 answer.toJavaOptional()
-                                        .filter(ClaimAnswer.class::isInstance)
-                                        .map(ClaimAnswer.class::cast));
+                                        .filter(ClaimResponse.class::isInstance)
+                                        .map(ClaimResponse.class::cast));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -15,8 +15,8 @@
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.config.ObjectKind;
 import org.cyclamenpaddle.core.id.PresetName;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.core.time.Clock;
@@ -119,7 +119,7 @@
 
     /** Asks a host that is not known as a member yet. */
     public void askAtStart(HostRecord peer) {
-        mSerial.execute(() -> askPeer(peer, new ConfigurationAsk(mReplica.known())));
+        mSerial.execute(() -> askPeer(peer, new ConfigurationRequest(mReplica.knownVersions())));
     }
 
     /** Takes the digest in a peer's heartbeat. */
@@ -134,22 +134,22 @@
     }
 
     /** Answers a peer's ask. */
-    public CompletableFuture<Optional<PeerMessage>> peerAsk(ConfigurationAsk ask) {
+    public CompletableFuture<Optional<PeerMessage>> peerAsk(ConfigurationRequest ask) {
         CompletableFuture<Optional<PeerMessage>> answer = new CompletableFuture<>();
         mSerial.execute(
                 () ->
                         answer.complete(
-                                mSync.onPeerAsk(ask).stream()
-                                        .filter(ConfigurationEffect.Answer.class::isInstance)
-                                        .map(ConfigurationEffect.Answer.class::cast)
-                                        .<PeerMessage>map(ConfigurationEffect.Answer::answer)
+                                mSync.onPeerRequest(ask).stream()
+                                        .filter(ConfigurationEffect.Respond.class::isInstance)
+                                        .map(ConfigurationEffect.Respond.class::cast)
+                                        .<PeerMessage>map(ConfigurationEffect.Respond::response)
                                         .findFirst()));
         return answer;
     }
 
     /** Takes objects that a peer pushed. */
-    public void peerPush(ConfigurationAnswer answer) {
-        mSerial.execute(() -> perform(mSync.onPeerAnswer(answer)));
+    public void peerPush(ConfigurationResponse answer) {
+        mSerial.execute(() -> perform(mSync.onPeerResponse(answer)));
     }
 
     /** Takes an object that this host has just written; completes when it is in force here. */
@@ -181,8 +181,8 @@
             watch(watch.afterRevision());
         } else if (effect instanceof ConfigurationEffect.StopWatch) {
             mGeneration++;
-        } else if (effect instanceof ConfigurationEffect.AskPeer ask) {
-            askPeer(ask.peer(), ask.ask());
+        } else if (effect instanceof ConfigurationEffect.QueryPeer ask) {
+            askPeer(ask.peer(), ask.request());
         } else if (effect instanceof ConfigurationEffect.Applied applied) {
             apply(applied.objects());
         }
@@ -249,16 +249,16 @@
         mBlackboard.configuration().write(cell -> cell.confirm(mClock.millis()));
     }
 
-    private void askPeer(HostRecord peer, ConfigurationAsk ask) {
+    private void askPeer(HostRecord peer, ConfigurationRequest ask) {
         mPeers.ask(peer, ask, PEER_ASK_MILLIS)
                 .thenAccept(answer -> mSerial.execute(() -> answered(answer)));
     }
 
     private void answered(Either<PeerError, PeerMessage> answer) {
-        boolean usable = answer.isRight() && answer.get() instanceof ConfigurationAnswer;
+        boolean usable = answer.isRight() && answer.get() instanceof ConfigurationResponse;
         perform(
                 usable
-                        ? mSync.onPeerAnswer((ConfigurationAnswer) answer.get())
+                        ? mSync.onPeerResponse((ConfigurationResponse) answer.get())
                         : mSync.onPeerFailed());
         if (usable) {
             mKnown.complete(null);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
@@ -14,11 +14,11 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.HostId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
-import org.cyclamenpaddle.core.message.GrantEnd;
 import org.cyclamenpaddle.core.message.GrantRegister;
+import org.cyclamenpaddle.core.message.GrantRelease;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.message.PeerMessage;
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public CompletableFuture<GrantAnswer> ask(GrantAsk ask) {
+    public CompletableFuture<GrantResponse> ask(GrantRequest ask) {
         Optional<HostRecord> owner = spec(ask.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
             return CompletableFuture.completedFuture(answer(ask, GrantDecision.UNAVAILABLE));
@@ -92,7 +92,7 @@
         return mPeers.ask(owner.get(), ask, ASK_MILLIS)
                 .thenApply(
                         answer ->
-                                answer.isRight() && answer.get() instanceof GrantAnswer granted
+                                answer.isRight() && answer.get() instanceof GrantResponse granted
                                         ? granted
                                         : answer(ask, GrantDecision.UNAVAILABLE));
     }
@@ -103,7 +103,7 @@
                 .flatMap(mHosts::owner)
                 .ifPresent(
                         owner -> {
-                            GrantEnd end = new GrantEnd(attempt, backend);
+                            GrantRelease end = new GrantRelease(attempt, backend);
                             if (isSelf(owner)) {
                                 onEnd(end);
                             } else {
@@ -113,7 +113,7 @@
     }
 
     /** Decides on an ask, of this host or a peer, by this host's ledger. */
-    public GrantAnswer decide(GrantAsk ask) {
+    public GrantResponse decide(GrantRequest ask) {
         Optional<BackendSpec> spec = spec(ask.backend());
         if (spec.isEmpty() || !mHosts.owns(spec.get())) {
             return answer(ask, GrantDecision.NOT_OWNER);
@@ -128,7 +128,7 @@
     }
 
     /** Takes back room. */
-    public void onEnd(GrantEnd end) {
+    public void onEnd(GrantRelease end) {
         mBlackboard
                 .grants()
                 .write(
@@ -301,7 +301,7 @@
         if (last == null || last.equals(name)) {
             return;
         }
-        List<GrantAsk> held = mBlackboard.requests().read(table -> table.askedOn(backend));
+        List<GrantRequest> held = mBlackboard.requests().read(table -> table.askedOn(backend));
         if (held.isEmpty()) {
             return;
         }
@@ -313,7 +313,7 @@
         }
     }
 
-    private void registerHeld(BackendSpec spec, GrantAsk ask) {
+    private void registerHeld(BackendSpec spec, GrantRequest ask) {
         role(spec.id())
                 .ifPresent(
                         role ->
@@ -370,16 +370,16 @@
         return host.incarnation().equals(mHosts.self().incarnation());
     }
 
-    private static GrantAnswer answer(GrantAsk ask, GrantDecision decision) {
-        return new GrantAnswer(ask.attempt(), ask.backend(), decision, 0, 0);
+    private static GrantResponse answer(GrantRequest ask, GrantDecision decision) {
+        return new GrantResponse(ask.attempt(), ask.backend(), decision, 0, 0);
     }
 
     /** Returns the answer to a peer's message about grants, if this is one that takes an answer. */
     public Optional<PeerMessage> onPeerMessage(PeerMessage message) {
-        if (message instanceof GrantAsk ask) {
+        if (message instanceof GrantRequest ask) {
             return Optional.of(decide(ask));
         }
-        if (message instanceof GrantEnd end) {
+        if (message instanceof GrantRelease end) {
             onEnd(end);
         } else if (message instanceof GrantRegister register) {
             onRegister(register);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -15,7 +15,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -145,14 +145,14 @@
     }
 
     @Override
-    public GrantAsk prefillAsk(
+    public GrantRequest prefillAsk(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft) {
         return GrantAsks.DEFAULTS.prefill(
                 attempt, request(shape, generated, millisLeft), candidate(choice), millisLeft);
     }
 
     @Override
-    public GrantAsk decodeAsk(
+    public GrantRequest decodeAsk(
             AttemptId attempt,
             RequestShape shape,
             int generated,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -6,9 +6,9 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.admission.Admitted;
 import org.cyclamenpaddle.routing.admission.GrantAsks;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
@@ -80,7 +80,7 @@
             return;
         }
         Candidate candidate = order.get(index);
-        GrantAsk ask = ASKS.prefill(mAttempt, mPlacement, candidate, left());
+        GrantRequest ask = ASKS.prefill(mAttempt, mPlacement, candidate, left());
         ask(
                 ask,
                 answer -> {
@@ -99,7 +99,7 @@
             return;
         }
         BackendId server = mDecodeOrder.get(index).backend();
-        GrantAsk ask = decodeAsk(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
+        GrantRequest ask = decodeAsk(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
         ask(
                 ask,
                 answer -> {
@@ -112,7 +112,7 @@
                 });
     }
 
-    private GrantAsk decodeAsk(BackendId server, BackendId prefill, long prefillEndInMillis) {
+    private GrantRequest decodeAsk(BackendId server, BackendId prefill, long prefillEndInMillis) {
         return ASKS.decode(
                 mAttempt,
                 mPlacement,
@@ -122,7 +122,7 @@
                 left());
     }
 
-    private GrantAsk decodeNowAsk(BackendId server) {
+    private GrantRequest decodeNowAsk(BackendId server) {
         return ASKS.decodeNow(
                 mAttempt,
                 mPlacement,
@@ -130,12 +130,13 @@
                 mRun.cluster().prefill(mPrefillServer.orElseThrow()).spec());
     }
 
-    private void ask(GrantAsk ask, Consumer<GrantAnswer> then) {
+    private void ask(GrantRequest ask, Consumer<GrantResponse> then) {
         EventLoop loop = mRun.loop();
         loop.after(
                 Scenario.HOP_MILLIS,
                 () -> {
-                    GrantAnswer answer = mRun.cluster().ledger(ask.backend()).ask(ask, loop.now());
+                    GrantResponse answer =
+                            mRun.cluster().ledger(ask.backend()).ask(ask, loop.now());
                     loop.after(
                             Scenario.HOP_MILLIS,
                             () -> {
@@ -149,7 +150,7 @@
     private boolean reserveShare(Candidate prefill) {
         for (Candidate candidate : mDecodeOrder) {
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
-            GrantAsk ask =
+            GrantRequest ask =
                     decodeAsk(candidate.backend(), prefill.backend(), prefill.predictedMillis());
             if (share.ask(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
                 mDecodeServer = Optional.of(candidate.backend());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -18,7 +18,7 @@
      *
      * @param ask the ask
      */
-    record AskGrant(GrantAsk ask) implements RequestEffect {
+    record AskGrant(GrantRequest ask) implements RequestEffect {
         @Override
         public void perform(RequestEffectHandler handler) {
             handler.askGrant(this);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -53,7 +53,7 @@
      * @param generated tokens already sent to the caller
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk prefillAsk(
+    GrantRequest prefillAsk(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft);
 
     /**
@@ -64,7 +64,7 @@
      * @param prefillEndInMillis when prefill and transfer are expected to have ended
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk decodeAsk(
+    GrantRequest decodeAsk(
             AttemptId attempt,
             RequestShape shape,
             int generated,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -6,9 +6,9 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -85,7 +85,7 @@
     }
 
     /** Takes an owner's answer. */
-    public List<RequestEffect> onGrantAnswer(GrantAnswer answer, long now) {
+    public List<RequestEffect> onGrantAnswer(GrantResponse answer, long now) {
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (!isAsked(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
@@ -222,14 +222,14 @@
                 .peek(ask -> ask.ifPresentOrElse(this::askGrant, () -> startPrefill(now)));
     }
 
-    private void askGrant(GrantAsk ask) {
+    private void askGrant(GrantRequest ask) {
         // Held from the ask on: the owner may have granted although its answer is lost.
         mOpen.openGrant(ask.attempt(), ask.backend());
         mEffects.add(new RequestEffect.AskGrant(ask));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
-    private void tryNextChoice(BackendId refused, Optional<GrantAnswer> answer, long now) {
+    private void tryNextChoice(BackendId refused, Optional<GrantResponse> answer, long now) {
         Optional<Refusal> last = mRound.refused(refused, answer, now);
         if (last.isPresent()) {
             noPlace(last.get(), now);
@@ -269,7 +269,7 @@
      * each planned restart of a host.
      */
     private void noPlace(Refusal refusal, long now) {
-        boolean recovering = mPlacements > 0 && refusal.reason().waitingHelps();
+        boolean recovering = mPlacements > 0 && refusal.reason().retryable();
         boolean moving = mRound.onlyOwnersRefused() && ++mMoves <= MOST_MOVES;
         if (!(recovering || moving) || mRound.late(now + PLACE_PAUSE_MILLIS)) {
             endRefused(refusal);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Set;
 import org.cyclamenpaddle.core.config.BackendRole;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.Fixtures;
 import org.testng.annotations.Test;
 
@@ -52,7 +52,7 @@
         GrantLedger ledger = experienced(1);
         ledger.ask(decodeAsk(1, 0, 500, 300), 0);
 
-        GrantAnswer second = ledger.ask(decodeAsk(2, 100, 500, 300), 0);
+        GrantResponse second = ledger.ask(decodeAsk(2, 100, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.GRANTED);
         assertBetween(second.startInMillis(), 300, 330);
@@ -74,7 +74,7 @@
         GrantLedger ledger = experienced(1);
         ledger.ask(decodeAsk(1, 0, 500, 900), 0);
 
-        GrantAnswer second = ledger.ask(decodeAsk(2, 0, 500, 300), 0);
+        GrantResponse second = ledger.ask(decodeAsk(2, 0, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.TOO_LATE);
         assertBetween(second.startInMillis(), 900, 960);
@@ -99,9 +99,9 @@
     @Test
     public void askingTwiceGivesOnePromise() {
         GrantLedger ledger = decode(2);
-        GrantAnswer first = ledger.ask(decodeAsk(1, 100, 500, 300), 0);
+        GrantResponse first = ledger.ask(decodeAsk(1, 100, 500, 300), 0);
 
-        GrantAnswer again = ledger.ask(decodeAsk(1, 100, 500, 300), 40);
+        GrantResponse again = ledger.ask(decodeAsk(1, 100, 500, 300), 40);
 
         assertEquals(again.startInMillis(), first.startInMillis() - 40);
         assertEquals(ledger.summary(40).freeSlots(), 1);
@@ -117,9 +117,9 @@
         GrantLedger ledger = decode(1);
         ledger.ask(decodeAsk(1, 0, 500, 300), 0);
 
-        GrantAnswer late = ledger.ask(decodeAsk(2, 0, 10, 300), 1_000);
+        GrantResponse late = ledger.ask(decodeAsk(2, 0, 10, 300), 1_000);
         ledger.end(attempt(1), 1_000);
-        GrantAnswer after = ledger.ask(decodeAsk(3, 0, 10, 300), 1_000);
+        GrantResponse after = ledger.ask(decodeAsk(3, 0, 10, 300), 1_000);
 
         assertEquals(late.decision(), GrantDecision.TOO_LATE);
         assertEquals(after.decision(), GrantDecision.GRANTED);
@@ -143,7 +143,7 @@
         GrantLedger ledger = experienced(20);
         ledger.ask(sized(decodeAsk(1, 0, 500, 300), Fixtures.PIECES), 0);
 
-        GrantAnswer second = ledger.ask(sized(decodeAsk(2, 0, 500, 100), 50), 0);
+        GrantResponse second = ledger.ask(sized(decodeAsk(2, 0, 500, 100), 50), 0);
         assertBetween(second.startInMillis(), 300, 330);
         assertEquals(
                 ledger.ask(sized(decodeAsk(3, 0, 500, 100), Fixtures.PIECES + 1), 0).decision(),
@@ -176,11 +176,11 @@
         GrantLedger ledger = decode(4);
         ledger.recoverUntil(1_000);
 
-        GrantAnswer blind = ledger.ask(decodeAsk(1, 0, 500, 300), 0);
+        GrantResponse blind = ledger.ask(decodeAsk(1, 0, 500, 300), 0);
         ledger.observe(List.of(seen(7), seen(8)), 10);
         ledger.register(decodeAsk(9, 50, 500, 300), 20);
-        GrantAnswer reserved = ledger.ask(decodeAsk(2, 60, 100, 300), 20);
-        GrantAnswer recovered = ledger.ask(decodeAsk(2, 0, 100, 300), 1_000);
+        GrantResponse reserved = ledger.ask(decodeAsk(2, 60, 100, 300), 20);
+        GrantResponse recovered = ledger.ask(decodeAsk(2, 0, 100, 300), 1_000);
 
         assertEquals(blind.decision(), GrantDecision.UNAVAILABLE);
         assertEquals(blind.startInMillis(), 1_000);
@@ -192,9 +192,9 @@
     public void prefillQueueIsSerialAndSoIsItsLink() {
         GrantLedger ledger = prefill();
 
-        GrantAnswer first = ledger.ask(prefillAsk(1, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer second = ledger.ask(prefillAsk(2, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer third = ledger.ask(prefillAsk(3, 1_000, 300_000_000, 950), 0);
+        GrantResponse first = ledger.ask(prefillAsk(1, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse second = ledger.ask(prefillAsk(2, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse third = ledger.ask(prefillAsk(3, 1_000, 300_000_000, 950), 0);
 
         assertEquals(first.endInMillis(), 400);
         assertEquals(second.startInMillis(), 100);
@@ -263,8 +263,8 @@
         assertEquals(ledger.ask(decodeAsk(2, 0, 10, 300), 0).decision(), GrantDecision.GRANTED);
     }
 
-    private static GrantAsk sized(GrantAsk ask, int pieces) {
-        return new GrantAsk(
+    private static GrantRequest sized(GrantRequest ask, int pieces) {
+        return new GrantRequest(
                 ask.attempt(),
                 ask.backend(),
                 ask.role(),
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -11,8 +11,8 @@
 import java.util.function.LongFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.time.VirtualClock;
 
 /**
@@ -111,8 +111,8 @@
             return;
         }
         mGranted.add(attempt);
-        GrantAnswer answer =
-                new GrantAnswer(
+        GrantResponse answer =
+                new GrantResponse(
                         attempt,
                         effect.ask().backend(),
                         GrantDecision.GRANTED,
@@ -127,8 +127,8 @@
         if (mRandom.nextBoolean()) {
             GrantDecision decision =
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
-            GrantAnswer answer =
-                    new GrantAnswer(attempt, effect.ask().backend(), decision, 700, 900);
+            GrantResponse answer =
+                    new GrantResponse(attempt, effect.ask().backend(), decision, 700, 900);
             at(2, now -> mMachine.onGrantAnswer(answer, now));
         }
     }
