--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/Assignment.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/Assignment.java
@@ -4,11 +4,11 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * What a preset asks of one backend server.
+ * Assignment of one backend server to a service and a role by a preset.
  *
  * @param backend the backend server
  * @param service the service that it serves
- * @param role what it does for that service
+ * @param role its role for that service
  */
 public record Assignment(BackendId backend, ServiceName service, BackendRole role) {
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendRole.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendRole.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** What a backend server does for a service. */
+/** Role of a backend server in a service. */
 public enum BackendRole {
-    /** Engine that turns prompts into KV cache. */
+    /** Engine that computes the KV cache of prompts. */
     PREFILL,
     /** Engine that generates tokens from imported KV cache. */
     DECODE,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendSpec.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendSpec.java
@@ -4,19 +4,19 @@
 import org.cyclamenpaddle.core.id.FailureDomain;
 
 /**
- * A backend server as operators declare it.
+ * Declaration of a backend server by an operator.
  *
  * @param id its name
- * @param failureDomain where it stands
+ * @param failureDomain its failure domain
  * @param address IP number
  * @param port TCP port, 1 to 65535
- * @param slots requests it decodes (or calls it runs) at once
+ * @param slots requests that it decodes, or calls that it runs, concurrently
  * @param memoryPieces engine memory in pieces of {@value #TOKENS_PER_PIECE} tokens; 0 if plain
- * @param prefillTokensPerSecond rate of prefill of uncached tokens; 0 if it never prefills
+ * @param prefillTokensPerSecond prefill throughput for uncached tokens; 0 if it never prefills
  * @param tokenMillis time between tokens when decoding, in milliseconds; 0 if it never decodes
- * @param linkBytesPerSecond rate of the link that carries KV cache; 0 if plain
- * @param fencing whether it refuses an order with an old fencing number
- * @param leaving whether the operator asked it to drain
+ * @param linkBytesPerSecond bandwidth of the link over which KV cache is transferred; 0 if plain
+ * @param fencing whether it rejects orders that carry a stale fencing token
+ * @param leaving whether the operator requested that it drain
  */
 public record BackendSpec(
         BackendId id,
@@ -31,7 +31,7 @@
         FencingSupport fencing,
         boolean leaving) {
 
-    /** Tokens whose KV cache fills one piece of engine memory. */
+    /** Tokens whose KV cache occupies one piece of engine memory. */
     public static final int TOKENS_PER_PIECE = 4_096;
 
     private static final int MAX_PORT = 65_535;
@@ -45,7 +45,8 @@
                     "address '" + address + "' of " + id + " must be an IP number");
         }
         if (port < 1 || port > MAX_PORT) {
-            throw new IllegalArgumentException("port " + port + " of " + id + " out of range");
+            throw new IllegalArgumentException(
+                    "port " + port + " of " + id + " must be 1 to 65535");
         }
         if (slots < 1) {
             throw new IllegalArgumentException("slots " + slots + " of " + id + " must be above 0");
@@ -54,12 +55,15 @@
                 || prefillTokensPerSecond < 0
                 || tokenMillis < 0
                 || linkBytesPerSecond < 0) {
-            throw new IllegalArgumentException("negative capacity for " + id);
+            throw new IllegalArgumentException(
+                    "memory, rates and times must not be negative: backend server " + id);
         }
         fencing = fencing == null ? FencingSupport.IGNORES : fencing;
     }
 
-    /** Returns the memory pieces that {@code tokens} of KV cache fill, rounded up. */
+    /**
+     * Returns the number of memory pieces that the KV cache of {@code tokens} occupies, rounded up.
+     */
     public static int piecesFor(long tokens) {
         return Math.toIntExact((tokens + TOKENS_PER_PIECE - 1) / TOKENS_PER_PIECE);
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationChecks.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationChecks.java
@@ -9,15 +9,18 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Checks of references between configuration objects, made before a change is accepted.
+ * Validates references between configuration objects before a change is accepted.
  *
- * <p>Each method returns what is wrong, or empty if the change may be written.
+ * <p>Each method returns a description of the problem, or empty if the change is valid.
  */
 public final class ConfigurationChecks {
 
     private ConfigurationChecks() {}
 
-    /** Checks that every backend server and service of a preset exists and that they fit. */
+    /**
+     * Checks that every backend server and service named by a preset exists and that each role fits
+     * its service.
+     */
     public static Optional<String> preset(ConfigurationView view, PresetSpec preset) {
         return preset.assignments().stream()
                 .map(assignment -> assignment(view, preset.name(), assignment))
@@ -34,12 +37,12 @@
         return preset(view, preset);
     }
 
-    /** Checks that no preset still names a service that is to be deleted or change its kind. */
+    /** Checks that no preset names a service that is to be deleted. */
     public static Optional<String> removeService(ConfigurationView view, ServiceName service) {
         return usedBy("service " + service, presetsWhere(view, a -> a.service().equals(service)));
     }
 
-    /** Checks that the roles which presets give for a service fit its new declaration. */
+    /** Checks that the roles assigned by presets fit the new declaration of a service. */
     public static Optional<String> replaceService(ConfigurationView view, ServiceSpec service) {
         return usedBy(
                 "another kind of service " + service.name(),
@@ -50,7 +53,7 @@
                                         && !service.kind().accepts(a.role())));
     }
 
-    /** Checks that no preset still names a backend server that is to be deleted. */
+    /** Checks that no preset names a backend server that is to be deleted. */
     public static Optional<String> removeBackend(ConfigurationView view, BackendId backend) {
         return usedBy(
                 "backend server " + backend, presetsWhere(view, a -> a.backend().equals(backend)));
@@ -82,7 +85,7 @@
                             + assignment.backend()
                             + ", which service "
                             + service.name()
-                            + " has no use for");
+                            + " does not accept");
         }
         return Optional.empty();
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationObject.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationObject.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * One version of a configuration object, as it is stored and passed between hosts.
+ * One version of a configuration object, as stored by the platform and replicated between hosts.
  *
- * <p>Versions come from the platform's one store-wide revision, so they rise over deletion and
- * re-creation too: for a key the greater version is always the newer.
+ * <p>Versions are taken from the platform's store-wide revision, so they also increase across
+ * deletion and re-creation: for a given key the greater version is always the newer one.
  *
- * @param key which object
+ * @param key key of the object
  * @param version the platform's revision that wrote it, above 0
  * @param document the object as JSON text; empty for a tombstone
  */
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Returns whether this version says that the object was deleted. */
+    /** Returns whether this version marks the object as deleted. */
     public boolean tombstone() {
         return document.isEmpty();
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationView.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ConfigurationView.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * All configuration objects as one immutable value, parsed and ready to decide by.
+ * Immutable snapshot of all configuration objects in parsed form.
  *
  * @param services declared services
  * @param backends declared backend servers
@@ -23,7 +23,7 @@
         Map<PresetName, PresetSpec> presets,
         Optional<PresetName> inForce) {
 
-    /** A view without any object. */
+    /** A snapshot without any object. */
     public static final ConfigurationView EMPTY =
             new ConfigurationView(Map.of(), Map.of(), Map.of(), Optional.empty());
 
@@ -33,12 +33,12 @@
         presets = Map.copyOf(presets);
     }
 
-    /** Returns the preset in force, if it is known to this view. */
+    /** Returns the preset in force, if this snapshot contains it. */
     public Optional<PresetSpec> presetInForce() {
         return inForce.map(presets::get);
     }
 
-    /** Returns what the preset in force asks, by backend server. */
+    /** Returns the assignments of the preset in force by backend server. */
     public Map<BackendId, Assignment> assignments() {
         return presetInForce().stream()
                 .flatMap(preset -> preset.assignments().stream())
@@ -46,9 +46,10 @@
     }
 
     /**
-     * Returns the backend servers that may get new work for a service in a role, in id order.
+     * Returns the backend servers that are eligible for new work of a service in a role, in id
+     * order.
      *
-     * <p>Those that the operator asked to drain are left out.
+     * <p>Backend servers that the operator set to drain are excluded.
      */
     public List<BackendSpec> serving(ServiceName service, BackendRole role) {
         return presetInForce().stream()
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/FencingSupport.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/FencingSupport.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.core.config;
 
-/** Whether a backend server refuses an order that carries an old fencing number. */
+/** Whether a backend server rejects orders that carry a stale fencing token. */
 public enum FencingSupport {
     HONOURS,
     IGNORES
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ObjectKey.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ObjectKey.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Key of a configuration object; in the platform {@code config/<kind>/<name>}.
+ * Key of a configuration object, stored in the platform as {@code config/<kind>/<name>}.
  *
  * @param kind kind of the object
  * @param name name, unique within the kind
@@ -18,7 +18,11 @@
 
     public ObjectKey {
         if (kind == null || name == null || name.isEmpty() || name.indexOf('/') >= 0) {
-            throw new IllegalArgumentException("bad object key: kind " + kind + " name " + name);
+            throw new IllegalArgumentException(
+                    "object key needs a kind and a name without '/': kind "
+                            + kind
+                            + " name "
+                            + name);
         }
     }
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ObjectKind.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ObjectKind.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Kinds of configuration object, with their part of the platform key. */
+/** Kinds of configuration objects, each with its segment of the platform key. */
 public enum ObjectKind {
     SERVICE,
     BACKEND,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PlainCall.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PlainCall.java
@@ -1,12 +1,13 @@
 package org.cyclamenpaddle.core.config;
 
 /**
- * One call that a plain service offers.
+ * Declaration of one call of a plain service.
  *
  * @param method HTTP method, upper case
- * @param path path below the service, starting with '/'
- * @param repeatable whether running it twice does no harm; else it takes an Idempotency-Key
- * @param timeoutMillis longest wait for an answer, in milliseconds
+ * @param path path relative to the service, starting with '/'
+ * @param repeatable whether the call is idempotent and may be repeated; otherwise it requires an
+ *     Idempotency-Key
+ * @param timeoutMillis response timeout in milliseconds
  */
 public record PlainCall(String method, String path, boolean repeatable, long timeoutMillis) {
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PresetSpec.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PresetSpec.java
@@ -7,12 +7,12 @@
 import org.cyclamenpaddle.core.id.PresetName;
 
 /**
- * A preset: which backend server serves which service in which role.
+ * Declaration of a preset, which assigns backend servers to services and roles.
  *
- * <p>A backend server that the preset in force does not name gets no new work.
+ * <p>A backend server that the preset in force does not name receives no new work.
  *
  * @param name its name
- * @param description for people
+ * @param description human-readable description
  * @param assignments at most one for each backend server
  */
 public record PresetSpec(PresetName name, String description, List<Assignment> assignments) {
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ServiceKind.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ServiceKind.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.core.config;
 
-/** Whether a service is a model or a plain service. */
+/** Kind of a service: a model or a plain service. */
 public enum ServiceKind {
     /** Served by a prefill and a decode engine. */
     MODEL {
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ServiceSpec.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/ServiceSpec.java
@@ -5,9 +5,9 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * A service as operators declare it.
+ * Declaration of a service by an operator.
  *
- * @param name name that callers address
+ * @param name name by which callers address the service
  * @param kind model or plain
  * @param model model that engines load; empty for a plain service
  * @param firstTokenMillis target for the time to first token, in milliseconds; 0 if plain
@@ -37,7 +37,11 @@
         }
         if (kvBytesPerToken < 0) {
             throw new IllegalArgumentException(
-                    "KV bytes per token " + kvBytesPerToken + " of " + name + " is negative");
+                    "KV bytes per token "
+                            + kvBytesPerToken
+                            + " of "
+                            + name
+                            + " must not be negative");
         }
     }
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration kinds that operators declare, and the checks made before one is accepted. */
+/** Configuration objects that operators declare, and their validation. */
 package org.cyclamenpaddle.core.config;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/AttemptId.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/AttemptId.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * Identity of one try of a request on one backend server; cancelling by it is idempotent.
+ * Identifier of one attempt to run a request on one backend server; cancelling by it is idempotent.
  *
- * <p>It names the incarnation of the host that stands for it, so that the owner of a backend server
- * can tell from the engine's list alone which attempts no live host stands for.
+ * <p>The identifier contains the incarnation of the host that started the attempt, so that the
+ * owner of a backend server can recognize orphaned attempts from the engine's list alone.
  *
  * @param value text of the identifier, {@code <host>:<incarnation number>:<sequence>}
  */
@@ -16,22 +16,26 @@
         Identifiers.check("attempt", value);
     }
 
-    /** Returns the id of the {@code sequence}th attempt of {@code holder}. */
+    /** Returns the identifier of the {@code sequence}th attempt of {@code holder}. */
     public static AttemptId of(Incarnation holder, long sequence) {
         return new AttemptId(holder + ":" + sequence);
     }
 
-    /** Returns the incarnation that stands for this attempt; empty for an id of foreign form. */
+    /**
+     * Returns the incarnation that started this attempt; empty if the identifier has another
+     * format.
+     */
     public Optional<Incarnation> holder() {
-        int last = value.lastIndexOf(':');
-        int middle = last < 0 ? -1 : value.lastIndexOf(':', last - 1);
-        if (middle <= 0) {
+        int lastColon = value.lastIndexOf(':');
+        int middleColon = lastColon < 0 ? -1 : value.lastIndexOf(':', lastColon - 1);
+        if (middleColon <= 0) {
             return Optional.empty();
         }
         try {
-            long number = Long.parseLong(value.substring(middle + 1, last));
-            return Optional.of(new Incarnation(new HostId(value.substring(0, middle)), number));
-        } catch (IllegalArgumentException foreign) {
+            long number = Long.parseLong(value.substring(middleColon + 1, lastColon));
+            return Optional.of(
+                    new Incarnation(new HostId(value.substring(0, middleColon)), number));
+        } catch (IllegalArgumentException otherFormat) {
             return Optional.empty();
         }
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/ChangeId.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/ChangeId.java
@@ -1,7 +1,8 @@
 package org.cyclamenpaddle.core.id;
 
 /**
- * Identity of one configuration change, by which a lost answer is settled.
+ * Identifier of one configuration change; it shows whether a change whose response was lost took
+ * effect.
  *
  * @param value text of the identifier, 1 to 128 letters, digits, '.', '_', ':' or '-'
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/HostId.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/HostId.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.core.id;
 
 /**
- * Name of an entry host, stable over restarts of its process.
+ * Name of an entry host, stable across restarts of its process.
  *
  * @param value text of the identifier, 1 to 128 letters, digits, '.', '_', ':' or '-'
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/Incarnation.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/Incarnation.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.core.id;
 
 /**
- * One life of an entry host's process: a restarted host has a greater number.
+ * Incarnation of an entry host's process; each restart gets a greater number.
  *
  * @param host the host
  * @param number wall-clock milliseconds at process start; compared only for the same host
@@ -17,7 +17,7 @@
         }
     }
 
-    /** Returns whether {@code other} is an earlier life of the same host. */
+    /** Returns whether {@code other} is an earlier incarnation of the same host. */
     public boolean supersedes(Incarnation other) {
         return host.equals(other.host) && number > other.number;
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/RequestId.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/RequestId.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.core.id;
 
 /**
- * Identity of one caller request, given by the entry host that took it.
+ * Identifier of one caller request, assigned by the entry host that received it.
  *
  * @param value text of the identifier, 1 to 128 letters, digits, '.', '_', ':' or '-'
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/TeamName.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/TeamName.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.core.id;
 
 /**
- * Name of the team that a caller belongs to; limits are fair between teams.
+ * Name of the team that a caller belongs to; limits are applied fairly between teams.
  *
  * @param value text of the identifier, 1 to 128 letters, digits, '.', '_', ':' or '-'
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/id/package-info.java
@@ -1,2 +1,2 @@
-/** Identifiers, each a type of its own, so that one cannot stand in for another. */
+/** Identifiers, each of its own type so that they cannot be confused with one another. */
 package org.cyclamenpaddle.core.id;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/invariant/BrokenInvariantException.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/invariant/BrokenInvariantException.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.core.invariant;
 
-/** Thrown when the program finds its own state contradictory; the process must stop. */
+/** Thrown when an internal invariant is violated; the process must stop. */
 public final class BrokenInvariantException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/invariant/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/invariant/package-info.java
@@ -1,2 +1,2 @@
-/** Invariants asserted inside the program; only a broken one stops the process. */
+/** Assertions of internal invariants; only a violated invariant stops the process. */
 package org.cyclamenpaddle.core.invariant;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimRequest.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimRequest.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Asks the host that claimed a key what became of its call.
+ * Queries the outcome of a call from the host that claimed its idempotency key.
  *
  * @param service the plain service
  * @param key the caller's Idempotency-Key
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimResponse.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimResponse.java
@@ -3,29 +3,29 @@
 import java.util.Optional;
 
 /**
- * Answer to {@link ClaimRequest}.
+ * Response to {@link ClaimRequest}.
  *
- * @param state what the claimer knows
- * @param response the kept answer, if {@code state} is {@link State#RAN}
+ * @param state what the responding host knows of the call
+ * @param response the stored response, if {@code state} is {@link State#RAN}
  */
 public record ClaimResponse(State state, Optional<StoredResponse> response) implements PeerMessage {
 
-    /** What a claimer knows of the call under a key. */
+    /** What a host knows of the call under an idempotency key. */
     public enum State {
         /** The call is running. */
         RUNNING,
-        /** The call ran, and its answer is kept. */
+        /** The call ran, and its response is stored. */
         RAN,
-        /** Provably no byte of the call left. */
+        /** Provably no byte of the call was sent. */
         NOT_RUN,
-        /** It may have run. */
+        /** The call may have run. */
         UNKNOWN,
-        /** The host asked has no memory of the key. */
+        /** The host has no record of the key. */
         NO_RECORD
     }
 
     /**
-     * An answer kept for resends.
+     * A response stored for replay to callers that send the same call again.
      *
      * @param status HTTP status
      * @param contentType its media type
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationRequest.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationRequest.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Asks for every configuration object newer than those the sender has.
+ * Requests every configuration object that is newer than the sender's version of it.
  *
  * @param knownVersions versions by key path that the sender has
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationResponse.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationResponse.java
@@ -4,9 +4,9 @@
 import org.cyclamenpaddle.core.config.ConfigurationObject;
 
 /**
- * Configuration objects, in answer to {@link ConfigurationRequest} or pushed after a change.
+ * Configuration objects, sent in response to {@link ConfigurationRequest} or pushed after a change.
  *
- * @param objects whole objects and tombstones
+ * @param objects complete objects and tombstones
  */
 public record ConfigurationResponse(List<ConfigurationObject> objects) implements PeerMessage {
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantDecision.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantDecision.java
@@ -1,15 +1,15 @@
 package org.cyclamenpaddle.core.message;
 
-/** What an owner decided on a {@link GrantRequest}. */
+/** Decision of a ledger's owner on a {@link GrantRequest}. */
 public enum GrantDecision {
-    /** The room is promised from the stated time on. */
+    /** The capacity is reserved from the stated time on. */
     GRANTED,
-    /** The room would come too late; the stated time says when it would. */
+    /** The capacity becomes available too late; the response states when. */
     TOO_LATE,
-    /** The backend server never has that much room. */
+    /** The request exceeds the total capacity of the backend server. */
     TOO_BIG,
-    /** The backend server is leaving, not assigned or not reached. */
+    /** The backend server is draining, not assigned or unreachable. */
     UNAVAILABLE,
-    /** The receiver does not own this ledger by its own view of the hosts. */
+    /** The receiver does not own this ledger according to its view of the hosts. */
     NOT_OWNER
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRegister.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRegister.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Tells a new owner of the room that the sender's attempts hold under the former owner.
+ * Registers with a new owner the reservations that the former owner granted to the sender's
+ * attempts.
  *
- * @param held one ask for each attempt, with {@code neededInMillis} 0 if it runs already
+ * @param held one request for each attempt, with {@code neededInMillis} 0 if it is already running
  */
 public record GrantRegister(List<GrantRequest> held) implements PeerMessage {
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRelease.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRelease.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Says that an attempt needs its room no more; idempotent.
+ * Releases the reservation of an attempt; idempotent.
  *
  * @param attempt the attempt
  * @param backend the backend server
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRequest.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRequest.java
@@ -5,17 +5,18 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Asks the owner of a backend server's ledger for room on it.
+ * Requests a reservation of capacity on a backend server from the owner of its ledger.
  *
- * @param attempt what the room is for; asking twice for one attempt gives one grant
+ * @param attempt the attempt that needs the capacity; repeated requests for one attempt yield one
+ *     grant
  * @param backend the backend server
- * @param role what the room is for
+ * @param role the role in which the backend server is used
  * @param tokens uncached tokens to prefill, or tokens expected to be generated
- * @param pieces memory pieces that are held meanwhile
- * @param transferBytes bytes of KV cache that cross the backend server's link
- * @param neededInMillis when the room is needed at the earliest, from now
- * @param latestInMillis when the room is of no use any more, from now
- * @param holdMillis how long the room is expected to be held
+ * @param pieces memory pieces that the attempt occupies
+ * @param transferBytes bytes of KV cache transferred over the backend server's link
+ * @param neededInMillis earliest time at which the capacity is needed, in milliseconds from now
+ * @param latestInMillis latest start that is still useful, in milliseconds from now
+ * @param holdMillis expected duration of the reservation, in milliseconds
  */
 public record GrantRequest(
         AttemptId attempt,
@@ -31,10 +32,12 @@
 
     public GrantRequest {
         if (attempt == null || backend == null || role == null) {
-            throw new IllegalArgumentException("grant ask lacks attempt, backend or role");
+            throw new IllegalArgumentException(
+                    "grant request needs an attempt, a backend server and a role");
         }
         if (tokens < 0 || pieces < 0 || transferBytes < 0 || holdMillis < 0) {
-            throw new IllegalArgumentException("grant ask of " + attempt + " has a negative size");
+            throw new IllegalArgumentException(
+                    "grant request of " + attempt + " has a negative size or duration");
         }
     }
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantResponse.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantResponse.java
@@ -4,13 +4,13 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Answer to {@link GrantRequest}.
+ * Response to {@link GrantRequest}.
  *
- * @param attempt the attempt that asked
+ * @param attempt the attempt that requested the reservation
  * @param backend the backend server
- * @param decision what was decided
- * @param startInMillis when the room is, or would be, there, from now
- * @param endInMillis when the granted work is expected to end, from now
+ * @param decision the owner's decision
+ * @param startInMillis when the capacity is, or would be, available, in milliseconds from now
+ * @param endInMillis when the granted work is expected to end, in milliseconds from now
  */
 public record GrantResponse(
         AttemptId attempt,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/Heartbeat.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/Heartbeat.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Sent at a fixed interval to the hosts that the sender watches.
+ * Liveness message sent at a fixed interval to the hosts that watch the sender.
  *
  * @param sender the sender's own record
- * @param sequence rises by one with each heartbeat of this incarnation
+ * @param sequence increases by one with each heartbeat of this incarnation
  * @param configurationDigest digest of the sender's configuration replica
  * @param inForceVersion version of the object that names the preset in force; 0 if none
- * @param hosts records that changed lately, and a few others in turn
+ * @param hosts recently changed records, and a few others in rotation
  * @param ledgers summaries of ledgers that the sender owns
  */
 public record Heartbeat(
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/Hello.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/Hello.java
@@ -1,8 +1,8 @@
 package org.cyclamenpaddle.core.message;
 
 /**
- * First message on a connection, both ways.
+ * First message on a connection, sent in both directions.
  *
- * @param sender who opened or accepted the connection
+ * @param sender the host that opened or accepted the connection
  */
 public record Hello(HostRecord sender) implements PeerMessage {}
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostRecord.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostRecord.java
@@ -4,14 +4,14 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 
 /**
- * What is known of an entry host.
+ * Identity, addresses and state of an entry host.
  *
- * @param incarnation the host and its life
+ * @param incarnation the host and the incarnation of its process
  * @param domain its failure domain
  * @param address IP number of its peer port
  * @param peerPort TCP port for peers
  * @param httpPort TCP port for callers and operators
- * @param state what the sender believes of it
+ * @param state state of the host in the sender's view
  */
 public record HostRecord(
         Incarnation incarnation,
@@ -23,7 +23,8 @@
 
     public HostRecord {
         if (incarnation == null || domain == null || address == null || state == null) {
-            throw new IllegalArgumentException("host record lacks a part");
+            throw new IllegalArgumentException(
+                    "host record needs an incarnation, a domain, an address and a state");
         }
     }
 
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostState.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostState.java
@@ -1,13 +1,13 @@
 package org.cyclamenpaddle.core.message;
 
-/** What one host believes of another. */
+/** State of a host in the view of another host. */
 public enum HostState {
-    /** Heard of lately. */
+    /** Heard from recently. */
     ALIVE,
-    /** Silent; being confirmed through others and by a new connection. */
+    /** Silent; its failure is being confirmed through other hosts and by a new connection. */
     SUSPECT,
-    /** Going through a planned stop; still answers, owns nothing. */
+    /** In a planned stop; still responds but owns no ledgers. */
     LEAVING,
-    /** Confirmed silent, or left. */
+    /** Confirmed unreachable, or has left the fleet. */
     DEAD
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ProbeRequest.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ProbeRequest.java
@@ -1,7 +1,8 @@
 package org.cyclamenpaddle.core.message;
 
 /**
- * Asks the receiver to try a new connection to a silent host on the sender's behalf.
+ * Requests an indirect probe: the receiver opens a new connection to a silent host on the sender's
+ * behalf.
  *
  * @param target the silent host
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/StrikeNotice.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/StrikeNotice.java
@@ -4,11 +4,11 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Tells that a request was on backend servers when they died.
+ * Reports that a request was running on backend servers when they crashed.
  *
  * @param fingerprint hash of service and prompt
- * @param crashedBackends every backend server known to have died with it
- * @param remainingMillis how long the strikes count, from now
+ * @param crashedBackends every backend server known to have crashed while running it
+ * @param remainingMillis how long the crashes count against the request, in milliseconds from now
  */
 public record StrikeNotice(long fingerprint, Set<BackendId> crashedBackends, long remainingMillis)
         implements PeerMessage {
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** Typed messages between entry hosts; durations cross hosts, clock readings never do. */
+/** Typed messages between entry hosts; they carry durations, never clock readings. */
 package org.cyclamenpaddle.core.message;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/Refusal.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/Refusal.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.core.outcome;
 
 /**
- * A refusal as a value: the reason, what the caller is told besides, and when to come back.
+ * Refusal of a request, with its reason, an optional detail and the retry delay.
  *
- * @param reason why
- * @param detail one sentence that names the value at fault; empty where the reason says it all
- * @param retryAfterMillis when waiting helps, how long in milliseconds; else 0
+ * @param reason reason of the refusal
+ * @param detail one sentence that names the offending value; empty if the reason is sufficient
+ * @param retryAfterMillis retry delay in milliseconds; 0 if a retry cannot succeed
  */
 public record Refusal(RefusalReason reason, String detail, long retryAfterMillis) {
 
@@ -17,13 +17,13 @@
         }
         if (retryAfterMillis < 0) {
             throw new IllegalArgumentException(
-                    "retry after " + retryAfterMillis + " ms must not be negative");
+                    "retry delay of " + retryAfterMillis + " ms must not be negative");
         }
     }
 
-    /** Returns a refusal whose wait, where waiting helps, is one second. */
+    /** Returns a refusal with a retry delay of one second if its reason is retryable. */
     public static Refusal of(RefusalReason reason, String detail) {
-        long wait = reason.retryable() ? DEFAULT_RETRY_AFTER_MILLIS : 0;
-        return new Refusal(reason, detail, wait);
+        long delayMillis = reason.retryable() ? DEFAULT_RETRY_AFTER_MILLIS : 0;
+        return new Refusal(reason, detail, delayMillis);
     }
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RefusalReason.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RefusalReason.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 
 /**
- * Every reason for which a request is refused or ends without its answer.
+ * Reasons for which a request is refused or ends without a response.
  *
- * <p>The same constant names the HTTP problem, the counter and the log field.
+ * <p>Each constant identifies the HTTP problem, the counter's tag and the log field.
  */
 public enum RefusalReason {
     BAD_BODY(400, NOT_RUN, false, "The body is not what this path takes."),
@@ -42,13 +42,13 @@
 
     private final int mStatus;
     private final RunOutcome mOutcome;
-    private final boolean mWaitingHelps;
+    private final boolean mRetryable;
     private final String mTitle;
 
-    RefusalReason(int status, RunOutcome outcome, boolean waitingHelps, String title) {
+    RefusalReason(int status, RunOutcome outcome, boolean retryable, String title) {
         mStatus = status;
         mOutcome = outcome;
-        mWaitingHelps = waitingHelps;
+        mRetryable = retryable;
         mTitle = title;
     }
 
@@ -62,17 +62,19 @@
         return mStatus;
     }
 
-    /** Returns the outcome said to the caller. */
+    /** Returns the outcome reported to the caller. */
     public RunOutcome outcome() {
         return mOutcome;
     }
 
-    /** Returns whether the answer carries {@code Retry-After}. */
+    /**
+     * Returns whether a later retry may succeed, so that the response carries {@code Retry-After}.
+     */
     public boolean retryable() {
-        return mWaitingHelps;
+        return mRetryable;
     }
 
-    /** Returns one sentence for people. */
+    /** Returns a human-readable sentence, the title of the problem document. */
     public String title() {
         return mTitle;
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RunOutcome.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RunOutcome.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.core.outcome;
 
-/** What became of a call, as said to its caller. */
+/** Outcome of a call, as reported to its caller. */
 public enum RunOutcome {
-    /** It provably did not run: no byte of it left for any backend server. */
+    /** It provably did not run: no byte of it was sent to any backend server. */
     NOT_RUN("not-run"),
-    /** It ran, and its answer is known. */
+    /** It ran, and its response is known. */
     RAN("ran"),
     /** It may or may not have run. */
     UNKNOWN("unknown");
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/package-info.java
@@ -1,2 +1,2 @@
-/** Outcomes as values: refusal reasons, retry reasons and what became of a call. */
+/** Outcome values: refusal reasons, retry reasons and the outcomes of calls. */
 package org.cyclamenpaddle.core.outcome;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/package-info.java
@@ -1,2 +1,4 @@
-/** Clock, identifiers, outcomes, invariants, blackboard tables and configuration kinds. */
+/**
+ * Clocks, identifiers, outcomes, invariants, shared state tables, peer messages and configuration.
+ */
 package org.cyclamenpaddle.core;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/Table.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/Table.java
@@ -8,10 +8,10 @@
 import org.cyclamenpaddle.core.invariant.Invariants;
 
 /**
- * One blackboard table: a value that is read and written only under its lock.
+ * Shared state guarded by a lock that is part of a global lock order.
  *
- * <p>Taking the lock asserts the lock order of {@link TableOrder}. A wrong order is found by the
- * first thread that takes it, not by the rare pair of threads that would block each other.
+ * <p>Acquiring the lock asserts the order of {@link TableOrder}. A violation is detected by the
+ * first thread that commits it, not only when two threads actually deadlock.
  *
  * @param <T> type of the guarded value
  */
@@ -27,8 +27,8 @@
     /**
      * Creates a table.
      *
-     * @param order place in the lock order
-     * @param value the guarded value; must not be reached but through this table
+     * @param order position in the lock order
+     * @param value the guarded value; must be accessed only through this table
      */
     public Table(TableOrder order, T value) {
         mOrder = order;
@@ -38,7 +38,7 @@
     /**
      * Runs {@code work} on the value under the lock and returns its result.
      *
-     * @param work must not keep the value, block or call out
+     * @param work must not retain the value, block or invoke foreign code
      * @param <R> type of the result
      */
     public <R> R read(Function<T, R> work) {
@@ -47,7 +47,7 @@
         boolean reentrant = mLock.isHeldByCurrentThread();
         Invariants.require(
                 reentrant || last == null || last.compareTo(mOrder) < 0,
-                () -> "lock of table " + mOrder + " taken while holding " + last);
+                () -> "lock of table " + mOrder + " acquired while holding the lock of " + last);
         mLock.lock();
         held.push(mOrder);
         try {
@@ -61,7 +61,7 @@
     /**
      * Runs {@code work} on the value under the lock.
      *
-     * @param work must not keep the value, block or call out
+     * @param work must not retain the value, block or invoke foreign code
      */
     public void write(Consumer<T> work) {
         read(
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/TableOrder.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/TableOrder.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.core.table;
 
 /**
- * The blackboard's tables in the one order in which their locks are taken.
+ * Global order in which the locks of the shared state tables are acquired.
  *
- * <p>A thread that holds a table's lock may take only locks of tables further down. Without one
- * order two controllers could each wait for the other's table for ever.
+ * <p>A thread that holds a table's lock may acquire only locks of tables declared after it. Without
+ * a global order two controllers could deadlock on each other's tables.
  */
 public enum TableOrder {
     CONFIGURATION,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/table/package-info.java
@@ -1,2 +1,2 @@
-/** Blackboard tables, each with its lock and its place in one stated lock order. */
+/** Shared state tables, each guarded by a lock with a fixed position in the global lock order. */
 package org.cyclamenpaddle.core.table;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/text/PromptText.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/text/PromptText.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * Token estimates and block hashes of a prompt, computed alike by the router and by engines.
+ * Estimates the token count and computes the block hashes of a prompt, identically in the router
+ * and in engines.
  *
- * <p>The router has no tokenizer; it takes {@value #CHARS_PER_TOKEN} characters for a token. Block
- * hashes are chained: equal hashes at index i mean, but for collisions, equal text up to the end of
- * block i, which is what a prefix cache reuses.
+ * <p>The router has no tokenizer and assumes {@value #CHARS_PER_TOKEN} characters per token. Block
+ * hashes are chained: barring collisions, equal hashes at index i mean equal text up to the end of
+ * block i, which is the unit that a prefix cache reuses.
  */
 public final class PromptText {
 
-    /** Characters taken for one token. */
+    /** Assumed number of characters per token. */
     public static final int CHARS_PER_TOKEN = 4;
 
     /** Tokens in one block of the prefix cache. */
@@ -24,12 +25,12 @@
 
     private PromptText() {}
 
-    /** Returns the estimated tokens of {@code text}, rounded up. */
+    /** Returns the estimated number of tokens in {@code text}, rounded up. */
     public static int tokens(String text) {
         return (text.length() + CHARS_PER_TOKEN - 1) / CHARS_PER_TOKEN;
     }
 
-    /** Returns the chained hashes of the whole blocks of {@code prompt}; FNV-1a, 64 bits. */
+    /** Returns the chained hashes of the complete blocks of {@code prompt}; FNV-1a, 64 bits. */
     public static List<Long> blockHashes(String prompt) {
         List<Long> hashes = new ArrayList<>();
         long hash = FNV_OFFSET;
@@ -42,7 +43,7 @@
         return hashes;
     }
 
-    /** Returns the hash of the whole prompt; FNV-1a, 64 bits. */
+    /** Returns the hash of the entire prompt; FNV-1a, 64 bits. */
     public static long hash(String prompt) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < prompt.length(); i++) {
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/text/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/text/package-info.java
@@ -1,2 +1,2 @@
-/** Text of prompts: token estimates and hashes of prompt blocks. */
+/** Prompt text: token estimates and block hashes. */
 package org.cyclamenpaddle.core.text;
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/MonotonicClock.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/MonotonicClock.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Clock over {@link System#nanoTime()}, unaffected by adjustments of the wall clock. */
+/** Clock based on {@link System#nanoTime()}, unaffected by adjustments of the wall clock. */
 public final class MonotonicClock implements Clock {
 
     private final long mOrigin = System.nanoTime();
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/VirtualClock.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/VirtualClock.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.core.time;
 
-/** Clock that moves only when told to, for seeded runs and tests. */
+/** Manually advanced clock for simulations and tests. */
 public final class VirtualClock implements Clock {
 
     private long mMillis;
@@ -22,17 +22,17 @@
     /**
      * Moves this clock forward.
      *
-     * @param millis distance in milliseconds, not negative
+     * @param millis duration in milliseconds, not negative
      */
     public synchronized void advance(long millis) {
         if (millis < 0) {
-            throw new IllegalArgumentException("clock cannot go back by " + millis + " ms");
+            throw new IllegalArgumentException("clock cannot be advanced by " + millis + " ms");
         }
         mMillis += millis;
     }
 
     /**
-     * Moves this clock forward to {@code millis}; a reading already passed is left as it is.
+     * Moves this clock forward to {@code millis}; does nothing if that reading has already passed.
      *
      * @param millis the reading to reach, in milliseconds
      */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/package-info.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** Time in milliseconds: the one clock type that every decision reads. */
+/** Time in milliseconds: the clock interface from which every decision reads the time. */
 package org.cyclamenpaddle.core.time;
--- a/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/config/ConfigurationChecksTest.java
+++ b/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/config/ConfigurationChecksTest.java
@@ -41,26 +41,27 @@
     }
 
     @Test
-    public void namesRoleThatDoesNotFit() {
-        String wrong = ConfigurationChecks.preset(view(), preset(BackendRole.PLAIN)).orElseThrow();
+    public void rejectsRoleThatDoesNotFit() {
+        String problem =
+                ConfigurationChecks.preset(view(), preset(BackendRole.PLAIN)).orElseThrow();
 
-        assertTrue(wrong.contains("role plain to ahm-p1"), wrong);
+        assertTrue(problem.contains("role plain to ahm-p1"), problem);
     }
 
     @Test
-    public void keepsServiceThatPresetNames() {
-        String wrong = ConfigurationChecks.removeService(view(), READER).orElseThrow();
+    public void rejectsDeletionOfServiceNamedByPreset() {
+        String problem = ConfigurationChecks.removeService(view(), READER).orElseThrow();
 
-        assertTrue(wrong.contains("ordinary"), wrong);
+        assertTrue(problem.contains("ordinary"), problem);
     }
 
     @Test
-    public void keepsPresetInForce() {
+    public void rejectsDeletionOfPresetInForce() {
         assertTrue(ConfigurationChecks.removePreset(view(), ORDINARY).isPresent());
     }
 
     @Test
-    public void refusesUnknownPreset() {
+    public void rejectsUnknownPreset() {
         InForceSpec spec = new InForceSpec(new PresetName("peak"));
 
         assertEquals(
--- a/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/id/AttemptIdTest.java
+++ b/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/id/AttemptIdTest.java
@@ -17,13 +17,13 @@
     }
 
     @Test
-    public void foreignFormHasNoHolder() {
+    public void identifierOfAnotherFormatHasNoHolder() {
         assertTrue(new AttemptId("someone-elses").holder().isEmpty());
         assertTrue(new AttemptId("a:b:c").holder().isEmpty());
     }
 
     @Test
-    public void refusesTextThatCannotBeInPath() {
+    public void rejectsTextWithSlash() {
         assertThrows(IllegalArgumentException.class, () -> new AttemptId("a/b"));
     }
 }
--- a/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/table/TableTest.java
+++ b/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/table/TableTest.java
@@ -12,21 +12,21 @@
     private final Table<int[]> mGrants = new Table<>(TableOrder.GRANTS, new int[1]);
 
     @Test
-    public void takesLocksInStatedOrder() {
+    public void acquiresLocksInDeclaredOrder() {
         mHosts.write(hosts -> mGrants.write(grants -> grants[0] = hosts[0] + 1));
 
         assertEquals(mGrants.read(grants -> grants[0]).intValue(), 1);
     }
 
     @Test
-    public void refusesLocksAgainstStatedOrder() {
+    public void rejectsLocksAgainstDeclaredOrder() {
         assertThrows(
                 BrokenInvariantException.class,
                 () -> mGrants.write(grants -> mHosts.write(hosts -> hosts[0] = 1)));
     }
 
     @Test
-    public void forgetsLocksAfterFailure() {
+    public void releasesLocksAfterFailure() {
         assertThrows(
                 BrokenInvariantException.class,
                 () -> mGrants.write(grants -> mHosts.write(hosts -> hosts[0] = 1)));
