--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
@@ -4,18 +4,18 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.message.ClaimRequest;
 
-/** What the process has to do on behalf of a {@link BookingMachine}. */
+/** Actions that the process performs on behalf of a {@link BookingMachine}. */
 public sealed interface BookingEffect {
 
     /**
-     * Have the claim written by {@link ClaimShard#claim}.
+     * Write the claim through {@link ClaimShard#claim}.
      *
      * @param claim the claim
      */
     record WriteClaim(ClaimRecord claim) implements BookingEffect {}
 
     /**
-     * Read the claim under a key back.
+     * Read back the claim of a key.
      *
      * @param key the key
      */
@@ -24,7 +24,7 @@
     /**
      * Choose a backend server and connect.
      *
-     * @param attempt the attempt, the same for each try
+     * @param attempt the attempt, the same for every try
      * @param tryNumber 1 for the first; a further try should choose another backend server
      */
     record Dispatch(AttemptId attempt, int tryNumber) implements BookingEffect {}
@@ -33,29 +33,30 @@
     record SendCall() implements BookingEffect {}
 
     /**
-     * Give up connecting; report {@link BookingEvent.ConnectFailedBeforeFirstByte} if nothing was
-     * written, else {@link BookingEvent.FailedAfterFirstByte}.
+     * Abort the connection attempt; report {@link BookingEvent.ConnectFailedBeforeFirstByte} if
+     * nothing was written, else {@link BookingEvent.FailedAfterFirstByte}.
      */
     record Abort() implements BookingEffect {}
 
     /**
-     * Ask the holder of the claim what became of the call; this very host may be the holder.
+     * Query the holder of the claim for the outcome of the call; this host itself may be the
+     * holder.
      *
      * @param holder the incarnation that holds the claim
-     * @param ask the ask
+     * @param request the request
      */
     record QueryClaimHolder(Incarnation holder, ClaimRequest request) implements BookingEffect {}
 
     /**
-     * Ask every host of the view, this one too, what it knows of the key; report by {@link
+     * Query every host of the view, including this one, for its record of the key; report by {@link
      * BookingEvent.PeersResponded} within a fraction of a second.
      *
-     * @param ask the ask
+     * @param request the request
      */
     record QueryPeers(ClaimRequest request) implements BookingEffect {}
 
     /**
-     * Have the outcome written by {@link ClaimShard#outcome}, in the background until it is kept.
+     * Write the outcome through {@link ClaimShard#outcome}, in the background until it is stored.
      *
      * @param claim the claim of this attempt
      * @param outcome its new state
@@ -63,16 +64,16 @@
     record RecordOutcome(ClaimRecord claim, ClaimState outcome) implements BookingEffect {}
 
     /**
-     * Send {@link BookingEvent.Wake} at a time.
+     * Schedule {@link BookingEvent.Wake}.
      *
      * @param millis reading of this host's clock
      */
     record WakeAt(long millis) implements BookingEffect {}
 
     /**
-     * Answer the caller; emitted exactly once.
+     * Reply to the caller; emitted exactly once.
      *
-     * @param reply what it is told
+     * @param reply the reply
      */
     record Reply(BookingReply reply) implements BookingEffect {}
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
@@ -5,76 +5,77 @@
 import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 
-/** What may happen to a {@link BookingMachine}. */
+/** Input events of a {@link BookingMachine}. */
 public sealed interface BookingEvent {
 
-    /** The platform keeps the claim of this attempt. */
+    /** The platform has stored the claim of this attempt. */
     record ClaimWritten() implements BookingEvent {}
 
     /**
-     * The key is claimed already.
+     * The key is already claimed.
      *
-     * @param existing the claim that stands
+     * @param existing the stored claim
      */
     record ClaimConflict(ClaimRecord existing) implements BookingEvent {}
 
-    /** The claim was sent, and no answer came. */
+    /** The claim was sent, and the response was lost. */
     record ClaimResponseLost() implements BookingEvent {}
 
     /**
-     * The claim under the key was read back.
+     * The claim of the key was read back.
      *
-     * @param existing the claim that stands, if any
+     * @param existing the stored claim, if any
      */
     record ClaimRead(Optional<ClaimRecord> existing) implements BookingEvent {}
 
     /**
-     * No claim can be had now: the platform is away.
+     * No claim can be obtained: the platform is unavailable.
      *
-     * <p>Whoever tells this frees a claim that may have been sent, unless it told {@link
-     * ClaimResponseLost} before.
+     * <p>The sender of this event releases a claim that may have been written, unless it reported
+     * {@link ClaimResponseLost} before.
      */
     record PlatformUnavailable() implements BookingEvent {}
 
-    /** A connection to a backend server is open and nothing was written on it yet. */
+    /** A connection to a backend server is open and nothing has been written to it. */
     record Connected() implements BookingEvent {}
 
-    /** No connection was had; provably no byte of the call left. */
+    /** The connection could not be opened; provably no byte of the call was sent. */
     record ConnectFailedBeforeFirstByte() implements BookingEvent {}
 
     /**
      * The first byte is about to be written.
      *
-     * <p>To be told before the byte is handed to the socket. Not needed after {@link Connected}.
+     * <p>Must be reported before the byte is handed to the socket. Not required after {@link
+     * Connected}.
      */
     record FirstByteWritten() implements BookingEvent {}
 
     /**
-     * The whole response came.
+     * The complete response was received.
      *
-     * @param answer the response
+     * @param response the response
      */
     record ResponseComplete(StoredResponse response) implements BookingEvent {}
 
-    /** The call failed after its first byte may have left. */
+    /** The call failed after its first byte may have been sent. */
     record FailedAfterFirstByte() implements BookingEvent {}
 
     /**
-     * The host that holds the claim said what became of the call.
+     * The host that holds the claim reported the outcome of the call.
      *
-     * @param answer what it said
+     * @param response its response
      */
     record ClaimHolderResponded(ClaimResponse response) implements BookingEvent {}
 
-    /** The host that holds the claim did not answer, or is dead. */
+    /** The host that holds the claim did not respond, or is dead. */
     record ClaimHolderUnreachable() implements BookingEvent {}
 
     /**
-     * The peers said what they know of the key.
+     * The peers reported their records of the key.
      *
-     * @param states what each host asked knows, this one's other calls among them
-     * @param complete whether every host of the view answered, in the life in which the view has
-     *     it, and no host was lost lately ({@code Membership.hostLostWithin})
+     * @param states the state that each queried host reports, including other calls of this host
+     * @param complete whether every host of the view responded, in the incarnation that the view
+     *     contains, and no host was lost recently ({@code Membership.hostLostWithin})
      */
     record PeersResponded(List<ClaimResponse.State> states, boolean complete)
             implements BookingEvent {
@@ -83,7 +84,7 @@
             states = List.copyOf(states);
         }
 
-        /** Returns whether no call under the key has run or may be running on any host. */
+        /** Returns whether provably no call with the key has run or is running on any host. */
         boolean provesUnused() {
             return complete
                     && states.stream()
@@ -94,9 +95,9 @@
         }
     }
 
-    /** The time named by {@link BookingEffect.WakeAt} has come. */
+    /** The time requested by {@link BookingEffect.WakeAt} was reached. */
     record Wake() implements BookingEvent {}
 
-    /** The caller's deadline passed. */
+    /** The caller's deadline expired. */
     record Timeout() implements BookingEvent {}
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
@@ -22,15 +22,16 @@
 import org.cyclamenpaddle.fleet.claim.BookingEffect.WriteClaim;
 
 /**
- * Course of one keyed call through this host, from its claim to its outcome.
+ * State machine of one booking on this host, from its claim to its outcome.
  *
- * <p>At most one run by key rests on three rules. A call is dispatched only after the platform
- * keeps the claim of this very attempt. A claim is never taken over by another attempt. And the one
- * mark that frees the key, {@link ClaimState#NOT_RUN}, is made by this machine alone, after which
- * it never dispatches. None of them reads a clock, so a pause of this host can break none.
+ * <p>At-most-once execution per key follows from three rules. A call is dispatched only after the
+ * platform has stored the claim of this attempt. A claim is never taken over by another attempt.
+ * Only this machine writes the state that releases the key, {@link ClaimState#NOT_RUN}, and it
+ * never dispatches afterwards. None of the rules reads a clock, so a pause of this host cannot
+ * violate them.
  *
- * <p>Not thread-safe: a caller feeds the events of one call one by one, and carries out the effects
- * of one before it feeds the next.
+ * <p>Not thread-safe: events of one call must be delivered sequentially, and the effects of an
+ * event must be performed before the next event is delivered.
  */
 public final class BookingMachine {
 
@@ -38,14 +39,14 @@
     private final BookingSettings mSettings;
     private final long mDeadlineMillis;
     private BookingState mState = BookingState.NEW;
-    private long mAskedPeersMillis;
+    private long mPeersQueriedMillis;
     private int mTries;
     private boolean mReplied;
-    private Optional<ClaimRecord> mForeign = Optional.empty();
-    private Optional<StoredResponse> mAnswer = Optional.empty();
+    private Optional<ClaimRecord> mConflictingClaim = Optional.empty();
+    private Optional<StoredResponse> mResponse = Optional.empty();
 
     /**
-     * Creates the machine of a call that has not started.
+     * Creates the state machine of a call that has not started.
      *
      * @param claim the claim to make, in state {@link ClaimState#CLAIMED}
      * @param settings limits
@@ -53,14 +54,15 @@
      */
     public BookingMachine(ClaimRecord claim, BookingSettings settings, long deadlineMillis) {
         if (claim.state() != ClaimState.CLAIMED) {
-            throw new IllegalArgumentException("claim to make is already " + claim.state());
+            throw new IllegalArgumentException(
+                    "new claim must be in state CLAIMED, but is " + claim.state());
         }
         mClaim = claim;
         mSettings = settings;
         mDeadlineMillis = deadlineMillis;
     }
 
-    /** Starts the call by its claim. */
+    /** Starts the call by writing its claim. */
     public List<BookingEffect> start() {
         Invariants.require(mState == BookingState.NEW, () -> "booking started in state " + mState);
         mState = BookingState.CLAIMING;
@@ -68,35 +70,35 @@
     }
 
     /**
-     * Takes an event in.
+     * Processes an event.
      *
-     * @param event what happened
+     * @param event the event
      * @param nowMillis reading of this host's clock
      */
     public List<BookingEffect> on(BookingEvent event, long nowMillis) {
         List<BookingEffect> effects = new ArrayList<>();
         if (event instanceof BookingEvent.ClaimWritten) {
-            held(nowMillis, effects);
+            onClaimAcquired(nowMillis, effects);
         } else if (event instanceof BookingEvent.ClaimConflict conflict) {
-            standing(Optional.of(conflict.existing()), nowMillis, effects);
+            onExistingClaim(Optional.of(conflict.existing()), nowMillis, effects);
         } else if (event instanceof BookingEvent.ClaimResponseLost) {
-            readBack(effects);
+            readClaimBack(effects);
         } else if (event instanceof BookingEvent.ClaimRead read) {
-            standing(read.existing(), nowMillis, effects);
+            onExistingClaim(read.existing(), nowMillis, effects);
         } else if (event instanceof BookingEvent.PlatformUnavailable) {
-            withoutClaim(nowMillis, effects);
-        } else if (event instanceof BookingEvent.ClaimHolderResponded answered) {
-            claimerAnswered(answered.response(), nowMillis, effects);
+            onPlatformUnavailable(nowMillis, effects);
+        } else if (event instanceof BookingEvent.ClaimHolderResponded responded) {
+            onClaimHolderResponse(responded.response(), nowMillis, effects);
         } else if (event instanceof BookingEvent.ClaimHolderUnreachable) {
-            claimerUnreachable(effects);
-        } else if (event instanceof BookingEvent.PeersResponded answered) {
-            peersAnswered(answered, nowMillis, effects);
+            onClaimHolderUnreachable(effects);
+        } else if (event instanceof BookingEvent.PeersResponded responded) {
+            onPeerResponses(responded, nowMillis, effects);
         } else if (event instanceof BookingEvent.Wake) {
-            wake(effects);
+            retryClaim(effects);
         } else if (event instanceof BookingEvent.Timeout) {
-            timeout(nowMillis, effects);
+            onDeadline(nowMillis, effects);
         } else {
-            onBackend(event, nowMillis, effects);
+            onBackendEvent(event, nowMillis, effects);
         }
         return effects;
     }
@@ -106,28 +108,28 @@
         return mClaim;
     }
 
-    /** Returns whether nothing more can happen to this call. */
+    /** Returns whether the call has reached a terminal state. */
     public boolean finished() {
-        return mState.last();
+        return mState.terminal();
     }
 
     /**
-     * Returns what this host answers to {@link ClaimRequest} about its own attempt.
+     * Returns this host's response to a {@link ClaimRequest} about its own attempt.
      *
-     * <p>A call whose claim is still open counts as running, since it may yet be had.
+     * <p>A call whose claim is still pending counts as running, since the claim may yet succeed.
      */
     public ClaimResponse claimResponse() {
         ClaimResponse.State state =
                 switch (mState) {
                     case RAN -> ClaimResponse.State.RAN;
-                    case NOT_RUN, ASKING_PEERS -> ClaimResponse.State.NOT_RUN;
-                    case UNKNOWN, FOREIGN -> ClaimResponse.State.UNKNOWN;
+                    case NOT_RUN, QUERYING_PEERS -> ClaimResponse.State.NOT_RUN;
+                    case UNKNOWN, CLAIMED_ELSEWHERE -> ClaimResponse.State.UNKNOWN;
                     default -> ClaimResponse.State.RUNNING;
                 };
-        return new ClaimResponse(state, mAnswer);
+        return new ClaimResponse(state, mResponse);
     }
 
-    private void onBackend(BookingEvent event, long nowMillis, List<BookingEffect> effects) {
+    private void onBackendEvent(BookingEvent event, long nowMillis, List<BookingEffect> effects) {
         if (event instanceof BookingEvent.Connected) {
             connected(nowMillis, effects);
         } else if (event instanceof BookingEvent.FirstByteWritten) {
@@ -141,92 +143,95 @@
         }
     }
 
-    private void held(long nowMillis, List<BookingEffect> effects) {
-        if (mState == BookingState.CLAIMING || mState == BookingState.READING_BACK) {
+    private void onClaimAcquired(long nowMillis, List<BookingEffect> effects) {
+        if (mState == BookingState.CLAIMING || mState == BookingState.READING_CLAIM) {
             dispatch(nowMillis, effects);
         }
     }
 
-    private void readBack(List<BookingEffect> effects) {
+    private void readClaimBack(List<BookingEffect> effects) {
         if (mState == BookingState.CLAIMING) {
-            // The claim may stand although its answer was lost. Refusing would be true but would
-            // leave the key claimed; dispatching without knowing could be a second run.
-            mState = BookingState.READING_BACK;
+            // The claim may have been stored although the response was lost. A refusal would be
+            // correct but would leave the key claimed; dispatching without knowing could run the
+            // call twice.
+            mState = BookingState.READING_CLAIM;
             effects.add(new ReadClaim(mClaim.key()));
         }
     }
 
-    private void standing(
+    private void onExistingClaim(
             Optional<ClaimRecord> existing, long nowMillis, List<BookingEffect> effects) {
-        if (mState != BookingState.CLAIMING && mState != BookingState.READING_BACK) {
+        if (mState != BookingState.CLAIMING && mState != BookingState.READING_CLAIM) {
             return;
         }
-        Optional<ClaimRecord> standing =
+        Optional<ClaimRecord> stored =
                 existing.filter(claim -> claim.sameAttempt(mClaim) || !claim.state().releasesKey());
-        if (standing.isEmpty()) {
+        if (stored.isEmpty()) {
             mState = BookingState.CLAIMING;
             effects.add(new WriteClaim(mClaim));
-        } else if (standing.get().sameAttempt(mClaim)) {
+        } else if (stored.get().sameAttempt(mClaim)) {
             dispatch(nowMillis, effects);
         } else {
-            foreign(standing.get(), effects);
+            onConflictingClaim(stored.get(), effects);
         }
     }
 
-    private void foreign(ClaimRecord existing, List<BookingEffect> effects) {
-        mForeign = Optional.of(existing);
+    private void onConflictingClaim(ClaimRecord existing, List<BookingEffect> effects) {
+        mConflictingClaim = Optional.of(existing);
         if (!existing.fingerprint().equals(mClaim.fingerprint())) {
-            finishForeign(RefusalReason.KEY_REUSED, effects);
+            refuseConflicting(RefusalReason.KEY_REUSED, effects);
         } else if (existing.state() == ClaimState.UNKNOWN) {
-            finishForeign(RefusalReason.BACKEND_FAILED, effects);
+            refuseConflicting(RefusalReason.BACKEND_FAILED, effects);
         } else {
-            ask(existing, effects);
+            query(existing, effects);
         }
     }
 
-    private void ask(ClaimRecord existing, List<BookingEffect> effects) {
-        mState = BookingState.ASKING;
+    private void query(ClaimRecord existing, List<BookingEffect> effects) {
+        mState = BookingState.QUERYING_HOLDER;
         Optional<Incarnation> holder = existing.attempt().holder();
         if (holder.isEmpty()) {
-            claimerUnreachable(effects);
+            onClaimHolderUnreachable(effects);
             return;
         }
-        effects.add(new QueryClaimHolder(holder.get(), ask()));
+        effects.add(new QueryClaimHolder(holder.get(), query()));
     }
 
-    private void claimerAnswered(
-            ClaimResponse answer, long nowMillis, List<BookingEffect> effects) {
-        if (mState != BookingState.ASKING) {
+    private void onClaimHolderResponse(
+            ClaimResponse response, long nowMillis, List<BookingEffect> effects) {
+        if (mState != BookingState.QUERYING_HOLDER) {
             return;
         }
-        switch (answer.state()) {
-            case RAN -> replay(answer.response(), effects);
+        switch (response.state()) {
+            case RAN -> replay(response.response(), effects);
             case RUNNING, NOT_RUN ->
                     effects.add(new WakeAt(nowMillis + mSettings.queryIntervalMillis()));
-            default -> claimerUnreachable(effects);
+            default -> onClaimHolderUnreachable(effects);
         }
     }
 
-    private void replay(Optional<StoredResponse> answer, List<BookingEffect> effects) {
-        if (answer.isEmpty()) {
-            finishForeign(RefusalReason.ANSWER_EXPIRED, effects);
+    private void replay(Optional<StoredResponse> response, List<BookingEffect> effects) {
+        if (response.isEmpty()) {
+            refuseConflicting(RefusalReason.ANSWER_EXPIRED, effects);
             return;
         }
-        mState = BookingState.FOREIGN;
-        reply(new BookingReply.Completed(answer.get(), true), effects);
+        mState = BookingState.CLAIMED_ELSEWHERE;
+        reply(new BookingReply.Completed(response.get(), true), effects);
     }
 
-    private void claimerUnreachable(List<BookingEffect> effects) {
-        if (mState != BookingState.ASKING) {
+    private void onClaimHolderUnreachable(List<BookingEffect> effects) {
+        if (mState != BookingState.QUERYING_HOLDER) {
             return;
         }
-        boolean ran = mForeign.filter(claim -> claim.state() == ClaimState.RAN).isPresent();
-        finishForeign(ran ? RefusalReason.ANSWER_EXPIRED : RefusalReason.CLAIM_BUSY, effects);
+        boolean ran =
+                mConflictingClaim.filter(claim -> claim.state() == ClaimState.RAN).isPresent();
+        refuseConflicting(ran ? RefusalReason.ANSWER_EXPIRED : RefusalReason.CLAIM_BUSY, effects);
     }
 
-    private void wake(List<BookingEffect> effects) {
-        if (mState == BookingState.ASKING) {
-            // The holder may have freed the key or ended the call since: the claim itself says.
+    private void retryClaim(List<BookingEffect> effects) {
+        if (mState == BookingState.QUERYING_HOLDER) {
+            // The holder may have released the key or ended the call since; the stored claim shows
+            // which.
             mState = BookingState.CLAIMING;
             effects.add(new WriteClaim(mClaim));
         }
@@ -235,7 +240,7 @@
     private void dispatch(long nowMillis, List<BookingEffect> effects) {
         Invariants.require(
                 mState != BookingState.NOT_RUN,
-                () -> "dispatch of " + mClaim.attempt() + " after its key was freed");
+                () -> "dispatch of " + mClaim.attempt() + " after its key was released");
         if (nowMillis >= mDeadlineMillis) {
             notRun(RefusalReason.PLATFORM_AWAY, effects);
             return;
@@ -279,87 +284,87 @@
         }
     }
 
-    private void complete(StoredResponse answer, List<BookingEffect> effects) {
+    private void complete(StoredResponse response, List<BookingEffect> effects) {
         if (mState != BookingState.SENT && mState != BookingState.UNKNOWN) {
             return;
         }
         mState = BookingState.RAN;
-        mAnswer = Optional.of(answer);
+        mResponse = Optional.of(response);
         effects.add(new RecordOutcome(mClaim, ClaimState.RAN));
-        reply(new BookingReply.Completed(answer, false), effects);
+        reply(new BookingReply.Completed(response, false), effects);
     }
 
     private void failed(List<BookingEffect> effects) {
         if (mState == BookingState.SENT || mState == BookingState.ABORTING) {
-            // A byte may have left, so the call may have run. Trying again could run it twice,
-            // and calling it not run would make the caller do so.
+            // A byte may have been sent, so the call may have run. A retry could run it twice, and
+            // reporting "not run" would make the caller retry.
             mState = BookingState.UNKNOWN;
             effects.add(new RecordOutcome(mClaim, ClaimState.UNKNOWN));
             refuse(RefusalReason.BACKEND_FAILED, effects);
         }
     }
 
-    private void withoutClaim(long nowMillis, List<BookingEffect> effects) {
-        if (mState == BookingState.READING_BACK) {
+    private void onPlatformUnavailable(long nowMillis, List<BookingEffect> effects) {
+        if (mState == BookingState.READING_CLAIM) {
             effects.add(new RecordOutcome(mClaim, ClaimState.NOT_RUN));
         }
-        // Where no claim was sent there is none to free. Marking each would fill memory with the
-        // refused calls of a long outage.
-        if (mState == BookingState.CLAIMING || mState == BookingState.READING_BACK) {
-            askPeers(nowMillis, effects);
+        // If no claim was sent there is none to release. Recording every refused call would exhaust
+        // memory during a long outage.
+        if (mState == BookingState.CLAIMING || mState == BookingState.READING_CLAIM) {
+            queryPeers(nowMillis, effects);
         }
     }
 
-    private void askPeers(long nowMillis, List<BookingEffect> effects) {
-        if (mForeign.isPresent()) {
-            mState = BookingState.ASKING;
-            claimerUnreachable(effects);
+    private void queryPeers(long nowMillis, List<BookingEffect> effects) {
+        if (mConflictingClaim.isPresent()) {
+            mState = BookingState.QUERYING_HOLDER;
+            onClaimHolderUnreachable(effects);
             return;
         }
         // This attempt will not run, but the request may be a resend of one that ran through
-        // another host. Saying not run would make the caller book again under a new key.
-        mState = BookingState.ASKING_PEERS;
-        mAskedPeersMillis = nowMillis;
-        effects.add(new QueryPeers(ask()));
+        // another host. Reporting "not run" would make the caller book again with a new key.
+        mState = BookingState.QUERYING_PEERS;
+        mPeersQueriedMillis = nowMillis;
+        effects.add(new QueryPeers(query()));
     }
 
-    private void peersAnswered(
-            BookingEvent.PeersResponded answered, long nowMillis, List<BookingEffect> effects) {
-        if (mState != BookingState.ASKING_PEERS) {
+    private void onPeerResponses(
+            BookingEvent.PeersResponded responded, long nowMillis, List<BookingEffect> effects) {
+        if (mState != BookingState.QUERYING_PEERS) {
             return;
         }
         mState = BookingState.NOT_RUN;
         // If this host was paused, the caller may have sent the call again through another host
-        // since the peers answered.
-        boolean recent = nowMillis - mAskedPeersMillis <= mSettings.peerResponseMaxAgeMillis();
-        boolean unused = recent && answered.provesUnused();
+        // after the peers responded.
+        boolean recent = nowMillis - mPeersQueriedMillis <= mSettings.peerResponseMaxAgeMillis();
+        boolean unused = recent && responded.provesUnused();
         refuse(unused ? RefusalReason.PLATFORM_AWAY : RefusalReason.CLAIM_UNREADABLE, effects);
     }
 
-    private ClaimRequest ask() {
+    private ClaimRequest query() {
         return new ClaimRequest(mClaim.key().service(), mClaim.key().key());
     }
 
-    private void timeout(long nowMillis, List<BookingEffect> effects) {
+    private void onDeadline(long nowMillis, List<BookingEffect> effects) {
         switch (mState) {
-            case CLAIMING, READING_BACK -> {
+            case CLAIMING, READING_CLAIM -> {
                 effects.add(new RecordOutcome(mClaim, ClaimState.NOT_RUN));
-                askPeers(nowMillis, effects);
+                queryPeers(nowMillis, effects);
             }
-            case ASKING_PEERS -> {
+            case QUERYING_PEERS -> {
                 mState = BookingState.NOT_RUN;
                 refuse(RefusalReason.CLAIM_UNREADABLE, effects);
             }
-            case ASKING -> finishForeign(RefusalReason.CLAIM_BUSY, effects);
+            case QUERYING_HOLDER -> refuseConflicting(RefusalReason.CLAIM_BUSY, effects);
             case DISPATCHING -> {
-                // Not run yet as far as is known, but a byte may be leaving this very moment: only
-                // the one who writes can say, so it is asked before anything is said.
+                // The first byte may be written concurrently. Only the writer knows, so the outcome
+                // is reported after the writer has confirmed the abort.
                 mState = BookingState.ABORTING;
                 effects.add(new Abort());
             }
             case ABORTING, SENT -> refuse(RefusalReason.DEADLINE_PASSED, effects);
             default -> {
-                // Already answered.
+                // A reply was already sent.
             }
         }
     }
@@ -370,8 +375,8 @@
         refuse(reason, effects);
     }
 
-    private void finishForeign(RefusalReason reason, List<BookingEffect> effects) {
-        mState = BookingState.FOREIGN;
+    private void refuseConflicting(RefusalReason reason, List<BookingEffect> effects) {
+        mState = BookingState.CLAIMED_ELSEWHERE;
         refuse(reason, effects);
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingReply.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingReply.java
@@ -4,17 +4,17 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 
-/** What the caller of a keyed call is told. */
+/** Reply to the caller of a booking. */
 public sealed interface BookingReply {
 
-    /** Returns what the caller learns about whether the call ran. */
+    /** Returns the outcome of the call, as reported to the caller. */
     RunOutcome outcome();
 
     /**
-     * The call ran, and this is its answer.
+     * The call ran, and this is its response.
      *
-     * @param answer the backend server's response
-     * @param replayed whether it was kept from an earlier call under the key
+     * @param response the backend server's response
+     * @param replayed whether it was stored by an earlier call with the key
      */
     record Completed(StoredResponse response, boolean replayed) implements BookingReply {
 
@@ -25,9 +25,9 @@
     }
 
     /**
-     * There is no answer; the reason says whether the call ran.
+     * There is no response; the reason states whether the call ran.
      *
-     * @param refusal why
+     * @param refusal the refusal
      */
     record Refused(Refusal refusal) implements BookingReply {
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingSettings.java
@@ -1,18 +1,18 @@
 package org.cyclamenpaddle.fleet.claim;
 
 /**
- * Limits of one keyed call.
+ * Limits of one booking.
  *
- * @param backendTries how many backend servers are tried before the first byte
- * @param queryIntervalMillis interval at which the holder of a claim is asked while the call runs
- *     there
- * @param peerResponseMaxAgeMillis how long after the peers were asked their answers count; to be
- *     shorter than the time after which callers send again
+ * @param backendTries maximum number of backend servers tried before the first byte
+ * @param queryIntervalMillis interval in milliseconds at which the holder of a claim is queried
+ *     while the call runs there
+ * @param peerResponseMaxAgeMillis maximum age of the peers' responses in milliseconds, counted from
+ *     the query; must be shorter than the time after which callers send again
  */
 public record BookingSettings(
         int backendTries, long queryIntervalMillis, long peerResponseMaxAgeMillis) {
 
-    /** Settings in common use. */
+    /** Default settings. */
     public static final BookingSettings DEFAULTS = new BookingSettings(3, 200, 500);
 
     public BookingSettings {
@@ -20,7 +20,7 @@
             throw new IllegalArgumentException(
                     "tries "
                             + backendTries
-                            + " and ask interval "
+                            + " and query interval "
                             + queryIntervalMillis
                             + " ms must be above 0");
         }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingState.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingState.java
@@ -4,23 +4,23 @@
 enum BookingState {
     NEW,
     CLAIMING,
-    READING_BACK,
-    /** Another attempt holds the key, and its host is asked. */
-    ASKING,
-    /** No claim can be had, and all hosts are asked about the key. */
-    ASKING_PEERS,
+    READING_CLAIM,
+    /** Another attempt holds the key, and its host is being queried. */
+    QUERYING_HOLDER,
+    /** No claim can be obtained, and all hosts are being queried about the key. */
+    QUERYING_PEERS,
     DISPATCHING,
-    /** The deadline passed while connecting; the writer has to say whether a byte left. */
+    /** The deadline expired while connecting; the writer must report whether a byte was sent. */
     ABORTING,
     SENT,
     RAN,
     NOT_RUN,
     UNKNOWN,
-    /** Another attempt holds the key, and the caller was told what is known of it. */
-    FOREIGN;
+    /** Another attempt holds the key, and the caller was told its known outcome. */
+    CLAIMED_ELSEWHERE;
 
-    /** Returns whether nothing more is awaited. */
-    boolean last() {
+    /** Returns whether this state is terminal. */
+    boolean terminal() {
         return compareTo(RAN) >= 0;
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingTable.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingTable.java
@@ -11,11 +11,11 @@
 import org.cyclamenpaddle.core.message.ClaimResponse;
 
 /**
- * The keyed calls of this host, kept for asks about their keys.
+ * Bounded table of this host's bookings, from which queries about their keys are served.
  *
- * <p>The oldest finished calls make room for new ones. From then on a key without a record may be
- * one that was dropped, and is answered with {@link ClaimResponse.State#UNKNOWN} for as long as
- * callers may send it again. Not thread-safe.
+ * <p>When the table is full, the oldest finished call is evicted. From then on a key without a
+ * record may belong to an evicted call, and is reported as {@link ClaimResponse.State#UNKNOWN} for
+ * as long as callers may send it again. Not thread-safe.
  */
 public final class BookingTable {
 
@@ -25,29 +25,33 @@
     private final long mResendMillis;
     private final Map<AttemptId, Entry> mCalls = new LinkedHashMap<>();
     private final Map<ClaimKey, List<BookingMachine>> mByKey = new LinkedHashMap<>();
-    private Optional<Long> mNewestDroppedMillis = Optional.empty();
+    private Optional<Long> mLatestEvictedMillis = Optional.empty();
 
     /**
      * Creates an empty table.
      *
-     * @param maxCalls how many finished and running calls are kept
-     * @param resendMillis for how long callers send a call again
+     * @param maxCalls capacity in calls, running and finished
+     * @param resendMillis how long callers may send a call again, in milliseconds
      */
     public BookingTable(int maxCalls, long resendMillis) {
         if (maxCalls < 1 || resendMillis < 0) {
             throw new IllegalArgumentException(
-                    "calls " + maxCalls + " must be above 0, resend " + resendMillis + " ms not");
+                    "calls "
+                            + maxCalls
+                            + " must be above 0, resend "
+                            + resendMillis
+                            + " ms must not be negative");
         }
         mMaxCalls = maxCalls;
         mResendMillis = resendMillis;
     }
 
-    /** Keeps a call from its start on. */
+    /** Adds a call that is about to start. */
     public void add(BookingMachine call, long nowMillis) {
         mCalls.put(call.claim().attempt(), new Entry(call, nowMillis));
         mByKey.computeIfAbsent(call.claim().key(), key -> new ArrayList<>()).add(call);
         if (mCalls.size() > mMaxCalls) {
-            dropOldestFinished();
+            evictOldestFinished();
         }
     }
 
@@ -57,46 +61,46 @@
     }
 
     /**
-     * Returns what this host knows of a key.
+     * Returns this host's record of a key.
      *
      * @param key the key
-     * @param asking attempt of this host that asks and is left out, if any
-     * @param lostLately whether the memory of another host was lost within the time in which
-     *     callers send a call again ({@code Membership.hostLostWithin}); a host that was started
-     *     since asks this one because it can't know of that loss
+     * @param querying querying attempt of this host, which is excluded, if any
+     * @param hostLost whether the records of another host were lost within the time in which
+     *     callers may send a call again ({@code Membership.hostLostWithin}); a host that started
+     *     after that loss cannot know of it and relies on this response
      */
     public ClaimResponse claimResponse(
-            ClaimKey key, Optional<AttemptId> asking, boolean lostLately, long nowMillis) {
+            ClaimKey key, Optional<AttemptId> querying, boolean hostLost, long nowMillis) {
         return mByKey.getOrDefault(key, List.of()).stream()
-                .filter(call -> asking.filter(call.claim().attempt()::equals).isEmpty())
+                .filter(call -> querying.filter(call.claim().attempt()::equals).isEmpty())
                 .map(BookingMachine::claimResponse)
-                .min(Comparator.comparing(BookingTable::rank))
-                .orElseGet(() -> withoutRecord(lostLately, nowMillis));
+                .min(Comparator.comparing(BookingTable::precedence))
+                .orElseGet(() -> withoutRecord(hostLost, nowMillis));
     }
 
-    /** Returns how many calls are kept. */
+    /** Returns the number of calls in this table. */
     public int size() {
         return mCalls.size();
     }
 
-    private ClaimResponse withoutRecord(boolean lostLately, long nowMillis) {
-        boolean maybeDropped =
-                mNewestDroppedMillis.filter(at -> nowMillis - at < mResendMillis).isPresent();
+    private ClaimResponse withoutRecord(boolean hostLost, long nowMillis) {
+        boolean mayBeEvicted =
+                mLatestEvictedMillis.filter(at -> nowMillis - at < mResendMillis).isPresent();
         return new ClaimResponse(
-                lostLately || maybeDropped
+                hostLost || mayBeEvicted
                         ? ClaimResponse.State.UNKNOWN
                         : ClaimResponse.State.NO_RECORD,
                 Optional.empty());
     }
 
-    private void dropOldestFinished() {
+    private void evictOldestFinished() {
         mCalls.values().stream()
                 .filter(entry -> entry.machine().finished())
                 .findFirst()
-                .ifPresent(this::drop);
+                .ifPresent(this::evict);
     }
 
-    private void drop(Entry entry) {
+    private void evict(Entry entry) {
         ClaimRecord claim = entry.machine().claim();
         mCalls.remove(claim.attempt());
         List<BookingMachine> rest =
@@ -109,13 +113,13 @@
             mByKey.put(claim.key(), rest);
         }
         if (entry.machine().claimResponse().state() != ClaimResponse.State.NOT_RUN) {
-            long before = mNewestDroppedMillis.orElse(Long.MIN_VALUE);
-            mNewestDroppedMillis = Optional.of(Math.max(before, entry.startedMillis()));
+            long before = mLatestEvictedMillis.orElse(Long.MIN_VALUE);
+            mLatestEvictedMillis = Optional.of(Math.max(before, entry.startedMillis()));
         }
     }
 
-    private static int rank(ClaimResponse answer) {
-        return switch (answer.state()) {
+    private static int precedence(ClaimResponse response) {
+        return switch (response.state()) {
             case RAN -> 0;
             case RUNNING -> 1;
             case UNKNOWN -> 2;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimCodec.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimCodec.java
@@ -2,19 +2,19 @@
 
 import io.vavr.control.Either;
 
-/** Turns a shard's claims into the text that the platform keeps, and back. */
+/** Codec between a shard's claims and the text stored in the platform. */
 public interface ClaimCodec {
 
-    /** Returns the text of a shard. */
+    /** Encodes a shard. */
     String encode(ClaimDocument document);
 
     /**
-     * Returns the length of one claim's part of the text, in characters.
+     * Returns the encoded length of one claim, in characters.
      *
      * @param claim the claim
      */
     int length(ClaimRecord claim);
 
-    /** Returns the shard of a text, or what is wrong with the text. */
+    /** Decodes a shard, or returns a description of the error. */
     Either<String, ClaimDocument> decode(String text);
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimDocument.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimDocument.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * All claims of one shard, as one object of the platform.
+ * All claims of one shard, stored as one object in the platform.
  *
  * @param claims the claims by key, oldest first
  */
@@ -19,7 +19,7 @@
         claims = Collections.unmodifiableMap(new LinkedHashMap<>(claims));
     }
 
-    /** Returns the claim under a key. */
+    /** Returns the claim of a key. */
     public Optional<ClaimRecord> claim(ClaimKey key) {
         return Optional.ofNullable(claims.get(key));
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimIntent.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimIntent.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.fleet.claim;
 
 /**
- * One change of a shard that a host wants and that is not yet known to be kept.
+ * Pending change of a shard by this host that is not yet known to be stored.
  *
- * @param claim the claim that this host makes or made
- * @param target {@link ClaimState#CLAIMED} to make the claim, else the outcome to record
+ * @param claim the claim of this host
+ * @param target {@link ClaimState#CLAIMED} to create the claim, otherwise the outcome to record
  * @param sent whether a write that carried the claim may still take effect
  */
 record ClaimIntent(ClaimRecord claim, ClaimState target, boolean sent) {
@@ -13,7 +13,10 @@
         return target == ClaimState.CLAIMED;
     }
 
-    /** Returns whether somebody waits for it: a caller, or the next attempt on a freed key. */
+    /**
+     * Returns whether the change must be written without delay: a caller, or the next attempt on a
+     * released key, waits for it.
+     */
     boolean urgent() {
         return makesClaim() || target.releasesKey();
     }
@@ -22,7 +25,7 @@
         return new ClaimIntent(claim, target, true);
     }
 
-    /** Returns the intent to free the key in place of claiming it. */
+    /** Returns an intent that releases the key instead of claiming it. */
     ClaimIntent released() {
         return new ClaimIntent(claim, ClaimState.NOT_RUN, sent);
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimKey.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimKey.java
@@ -6,7 +6,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * What a claim is for: a caller's Idempotency-Key within one plain service.
+ * Key of a claim: a caller's Idempotency-Key within one plain service.
  *
  * @param service the plain service
  * @param key 1 to 128 printable ASCII characters
@@ -22,15 +22,15 @@
         }
     }
 
-    /** Returns whether a caller's text may serve as a key. */
+    /** Returns whether a caller's text is a valid key. */
     public static boolean valid(String key) {
         return ALLOWED.matcher(key).matches();
     }
 
     /**
-     * Returns the shard that keeps the claim.
+     * Returns the number of the shard that stores the claim.
      *
-     * @param shards how many shards there are; the same for all hosts and for good
+     * @param shards total number of shards; the same on all hosts and never changed
      */
     public int shard(int shards) {
         byte[] text = (service + "/" + key).getBytes(StandardCharsets.UTF_8);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimLines.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimLines.java
@@ -10,10 +10,10 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Claims as lines of tab-separated fields, all ASCII.
+ * Encodes claims as lines of tab-separated ASCII fields.
  *
- * <p>The first line names the format. A line has service, key, fingerprint, attempt, state and time
- * of the claim; none of them can hold a tab or a line feed.
+ * <p>The first line identifies the format. Each further line contains service, key, fingerprint,
+ * attempt, state and time of a claim; none of them can contain a tab or a line feed.
  */
 public final class ClaimLines implements ClaimCodec {
 
@@ -54,12 +54,14 @@
         String[] fields = line.split(TAB, -1);
         if (fields.length != FIELDS) {
             throw new IllegalArgumentException(
-                    "line has " + fields.length + " fields in place of " + FIELDS);
+                    "line has " + fields.length + " fields instead of " + FIELDS);
         }
         ClaimState state =
                 ClaimState.fromCode(fields[4])
                         .orElseThrow(
-                                () -> new IllegalArgumentException("no state '" + fields[4] + "'"));
+                                () ->
+                                        new IllegalArgumentException(
+                                                "unknown claim state '" + fields[4] + "'"));
         return new ClaimRecord(
                 new ClaimKey(new ServiceName(fields[0]), fields[1]),
                 fields[2],
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
@@ -9,40 +9,42 @@
 import java.util.concurrent.TimeUnit;
 import org.cyclamenpaddle.core.invariant.Invariants;
 
-/** Merges the intents of one host into a shard's document. */
+/** Merges the pending changes of one host into a shard's document. */
 final class ClaimMerge {
 
-    /** How far the wall clocks of two hosts may differ without a claim being dropped early. */
+    /**
+     * Maximum difference between the wall clocks of two hosts at which no claim is removed early.
+     */
     private static final long CLOCK_TOLERANCE_MILLIS = TimeUnit.HOURS.toMillis(1);
 
     private final ClaimShardSettings mSettings;
     private final ClaimCodec mCodec;
-    private final boolean mWriteMayLand;
+    private final boolean mWriteMayApply;
     private final Map<ClaimKey, ClaimRecord> mClaims;
     private final List<ClaimIntent> mWritten = new ArrayList<>();
-    private final List<ClaimIntent> mKept = new ArrayList<>();
-    private final List<ClaimIntent> mTooMany = new ArrayList<>();
-    private final Map<ClaimIntent, ClaimRecord> mTaken = new LinkedHashMap<>();
+    private final List<ClaimIntent> mAlreadyStored = new ArrayList<>();
+    private final List<ClaimIntent> mOverCapacity = new ArrayList<>();
+    private final Map<ClaimIntent, ClaimRecord> mConflicts = new LinkedHashMap<>();
     private int mCharacters;
 
     /**
-     * Merges.
+     * Performs the merge.
      *
-     * @param base the document to start from
-     * @param intents what this host wants
-     * @param writeMayLand whether an earlier write on the same base may still take effect
-     * @param nowEpochMillis wall-clock time, for retention alone
+     * @param base the stored document
+     * @param intents the pending changes of this host
+     * @param writeMayApply whether an earlier write on the same base may still take effect
+     * @param nowEpochMillis wall-clock time, used only for retention
      */
     ClaimMerge(
             ClaimShardSettings settings,
             ClaimCodec codec,
             ClaimDocument base,
             Collection<ClaimIntent> intents,
-            boolean writeMayLand,
+            boolean writeMayApply,
             long nowEpochMillis) {
         mSettings = settings;
         mCodec = codec;
-        mWriteMayLand = writeMayLand;
+        mWriteMayApply = writeMayApply;
         mClaims = new LinkedHashMap<>(base.claims());
         long oldest = nowEpochMillis - settings.retentionMillis() - CLOCK_TOLERANCE_MILLIS;
         mClaims.values().removeIf(claim -> claim.claimedEpochMillis() < oldest);
@@ -50,8 +52,8 @@
         intents.forEach(this::merge);
     }
 
-    /** Returns whether the merged document differs by an intent from the base. */
-    boolean changes() {
+    /** Returns whether the merged document contains changes that the base lacks. */
+    boolean hasChanges() {
         return !mWritten.isEmpty();
     }
 
@@ -59,63 +61,64 @@
         return new ClaimDocument(mClaims);
     }
 
-    /** Returns the intents that the merged document carries and the base does not. */
+    /** Returns the intents that the merged document contains and the base lacks. */
     List<ClaimIntent> written() {
         return mWritten;
     }
 
-    /** Returns the intents that the base carries already, or that have become pointless. */
-    List<ClaimIntent> kept() {
-        return mKept;
+    /** Returns the intents that the base already contains, or that are obsolete. */
+    List<ClaimIntent> alreadyStored() {
+        return mAlreadyStored;
     }
 
-    /** Returns the claims for which the shard has no room. */
-    List<ClaimIntent> tooMany() {
-        return mTooMany;
+    /** Returns the claims that exceed the capacity of the shard. */
+    List<ClaimIntent> overCapacity() {
+        return mOverCapacity;
     }
 
-    /** Returns the claims whose key another attempt holds, with its claim. */
-    Map<ClaimIntent, ClaimRecord> taken() {
-        return mTaken;
+    /** Returns the claims whose key is held by another attempt, each with that attempt's claim. */
+    Map<ClaimIntent, ClaimRecord> conflicts() {
+        return mConflicts;
     }
 
     private void merge(ClaimIntent intent) {
         Optional<ClaimRecord> existing = Optional.ofNullable(mClaims.get(intent.claim().key()));
-        boolean mine = existing.filter(intent.claim()::sameAttempt).isPresent();
+        boolean ownClaim = existing.filter(intent.claim()::sameAttempt).isPresent();
         if (intent.makesClaim()) {
-            mergeClaim(intent, existing, mine);
+            mergeClaim(intent, existing, ownClaim);
         } else {
-            mergeOutcome(intent, existing, mine);
+            mergeOutcome(intent, existing, ownClaim);
         }
     }
 
-    private void mergeClaim(ClaimIntent intent, Optional<ClaimRecord> existing, boolean mine) {
-        if (mine) {
-            mKept.add(intent);
-        } else if (!free(existing)) {
-            mTaken.put(intent, existing.get());
+    private void mergeClaim(ClaimIntent intent, Optional<ClaimRecord> existing, boolean ownClaim) {
+        if (ownClaim) {
+            mAlreadyStored.add(intent);
+        } else if (!isFree(existing)) {
+            mConflicts.put(intent, existing.get());
         } else if (mCharacters + mCodec.length(intent.claim()) > mSettings.maxCharacters()) {
-            mTooMany.add(intent);
+            mOverCapacity.add(intent);
         } else {
             put(intent, existing);
         }
     }
 
-    private void mergeOutcome(ClaimIntent intent, Optional<ClaimRecord> existing, boolean mine) {
-        if (mine && existing.get().state() == intent.target()) {
-            mKept.add(intent);
-        } else if (mine) {
+    private void mergeOutcome(
+            ClaimIntent intent, Optional<ClaimRecord> existing, boolean ownClaim) {
+        if (ownClaim && existing.get().state() == intent.target()) {
+            mAlreadyStored.add(intent);
+        } else if (ownClaim) {
             Invariants.require(
                     existing.get().state().canTransitionTo(intent.target()),
-                    () -> existing.get() + " must not become " + intent.target());
+                    () -> existing.get() + " must not change to " + intent.target());
             put(intent, existing);
-        } else if (mWriteMayLand && intent.sent() && free(existing)) {
-            // The claim itself may still arrive by the write whose answer was lost, and nobody
-            // would then free the key. A write on the same base, whichever lands first, makes the
-            // other one fail.
+        } else if (mWriteMayApply && intent.sent() && isFree(existing)) {
+            // The write whose response was lost may still store the claim, and nobody would then
+            // release the key. Of two conditional writes on the same base only the first to arrive
+            // succeeds.
             put(intent, existing);
         } else {
-            mKept.add(intent);
+            mAlreadyStored.add(intent);
         }
     }
 
@@ -132,7 +135,7 @@
         mCharacters -= mCodec.length(claim);
     }
 
-    private static boolean free(Optional<ClaimRecord> existing) {
+    private static boolean isFree(Optional<ClaimRecord> existing) {
         return existing.map(claim -> claim.state().releasesKey()).orElse(true);
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimRecord.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimRecord.java
@@ -4,13 +4,13 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * One claim as the platform keeps it.
+ * A claim of an idempotency key, as stored in the platform.
  *
- * @param key what is claimed
+ * @param key the claimed key
  * @param fingerprint hash of the request, lower-case hex; a resend has the same
- * @param attempt the attempt that holds the claim, which names its host's incarnation
- * @param state what is known of the call
- * @param claimedEpochMillis wall-clock time of the claim; used for retention alone
+ * @param attempt the attempt that holds the claim; it identifies its host's incarnation
+ * @param state state of the call
+ * @param claimedEpochMillis wall-clock time of the claim in milliseconds; used only for retention
  */
 public record ClaimRecord(
         ClaimKey key,
@@ -23,10 +23,11 @@
 
     public ClaimRecord {
         if (key == null || attempt == null || state == null) {
-            throw new IllegalArgumentException("claim lacks key, attempt or state: " + key);
+            throw new IllegalArgumentException("claim needs a key, an attempt and a state: " + key);
         }
         if (fingerprint == null || !HEX.matcher(fingerprint).matches()) {
-            throw new IllegalArgumentException("fingerprint '" + fingerprint + "' must be hex");
+            throw new IllegalArgumentException(
+                    "fingerprint '" + fingerprint + "' must be 1 to 64 lower-case hex digits");
         }
         if (claimedEpochMillis < 0) {
             throw new IllegalArgumentException(
@@ -39,7 +40,7 @@
         return new ClaimRecord(key, fingerprint, attempt, newState, claimedEpochMillis);
     }
 
-    /** Returns whether {@code other} stands for the very same attempt. */
+    /** Returns whether {@code other} belongs to the same attempt. */
     public boolean sameAttempt(ClaimRecord other) {
         return attempt.equals(other.attempt);
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimResult.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimResult.java
@@ -4,13 +4,13 @@
 import org.cyclamenpaddle.fleet.claim.BookingEvent.ClaimWritten;
 import org.cyclamenpaddle.fleet.claim.BookingEvent.PlatformUnavailable;
 
-/** What became of a claim. */
+/** Result of a claim. */
 public sealed interface ClaimResult {
 
-    /** Returns the event that tells the call. */
+    /** Returns the event that reports this result to the call. */
     BookingEvent event();
 
-    /** The platform keeps it. */
+    /** The platform has stored the claim. */
     record Acquired() implements ClaimResult {
 
         @Override
@@ -32,7 +32,7 @@
         }
     }
 
-    /** It could not be had: the platform is away, or the shard is full. */
+    /** The claim could not be obtained: the platform is unavailable, or the shard is full. */
     record Unavailable() implements ClaimResult {
 
         @Override
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShard.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShard.java
@@ -14,12 +14,13 @@
 /**
  * Group commit of one host's claims in one shard.
  *
- * <p>One call to the platform is under way at a time; what is wanted meanwhile goes into the next.
- * Each write is conditional on the version that it was merged on, so hosts that write the same
- * shard never overwrite each other's claims: the loser merges again on what the winner left.
+ * <p>At most one call to the platform is in flight; changes requested in the meantime are batched
+ * into the next one. Each write is conditional on the version on which it was merged, so hosts that
+ * write the same shard never overwrite each other's claims: after a conflict the host merges its
+ * changes into the newer document.
  *
- * <p>Not thread-safe. Every event returns the effects to carry out, in order. Wall-clock times are
- * used for retention alone.
+ * <p>Not thread-safe. Every event returns the effects to perform, in order. Wall-clock times are
+ * used only for retention.
  */
 public final class ClaimShard {
 
@@ -38,20 +39,20 @@
     private final Map<AttemptId, ClaimIntent> mPending = new LinkedHashMap<>();
     private Phase mPhase = Phase.IDLE;
     private Optional<Base> mBase = Optional.empty();
-    private boolean mFresh;
-    private Optional<Long> mLostOnVersion = Optional.empty();
+    private boolean mBaseFresh;
+    private Optional<Long> mUnconfirmedWriteVersion = Optional.empty();
     private Optional<ClaimMerge> mInFlight = Optional.empty();
     private long mRetryAtMillis;
     private Optional<Long> mFlushAtMillis = Optional.empty();
-    private boolean mFlush;
+    private boolean mFlushDue;
     private long mNowEpochMillis;
 
     /**
-     * Creates a shard of which nothing is known yet.
+     * Creates a shard whose stored document has not been read yet.
      *
      * @param number its number, from 0
      * @param settings limits
-     * @param codec tells how long a document becomes
+     * @param codec computes the length of a document
      */
     public ClaimShard(int number, ClaimShardSettings settings, ClaimCodec codec) {
         mNumber = number;
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Wants a claim made.
+     * Requests a claim.
      *
      * @param claim the claim
      * @param nowEpochMillis wall-clock time
@@ -75,10 +76,10 @@
     }
 
     /**
-     * Wants the outcome of an attempt of this host recorded.
+     * Records the outcome of an attempt of this host.
      *
      * @param claim its claim
-     * @param outcome its outcome; {@link ClaimState#NOT_RUN} frees the key
+     * @param outcome its outcome; {@link ClaimState#NOT_RUN} releases the key
      */
     public List<ClaimShardEffect> outcome(ClaimRecord claim, ClaimState outcome) {
         Optional<ClaimIntent> pending = Optional.ofNullable(mPending.get(claim.attempt()));
@@ -97,7 +98,8 @@
     }
 
     /**
-     * Goes on after the platform was found away, and writes outcomes that have waited long enough.
+     * Retries after the platform was unavailable, and writes outcomes whose flush delay has
+     * elapsed.
      *
      * @param nowMillis reading of this host's clock
      */
@@ -110,12 +112,12 @@
         } else if (mFlushAtMillis.isEmpty()) {
             mFlushAtMillis = Optional.of(nowMillis + mSettings.flushMillis());
         }
-        mFlush = mFlushAtMillis.filter(at -> nowMillis >= at).isPresent();
+        mFlushDue = mFlushAtMillis.filter(at -> nowMillis >= at).isPresent();
         return proceed();
     }
 
     /**
-     * Takes in what the platform keeps of this shard.
+     * Processes the stored document of this shard.
      *
      * @param version its version; 0 if there is none
      */
@@ -124,21 +126,21 @@
         return proceed();
     }
 
-    /** Takes in that the write under way is kept. */
+    /** Processes the success of the write in flight. */
     public List<ClaimShardEffect> onWritten(long version) {
         ClaimMerge written = mInFlight.orElseThrow();
         rebase(version, written.document());
-        mFresh = false;
-        mFlush = false;
+        mBaseFresh = false;
+        mFlushDue = false;
         mFlushAtMillis = Optional.empty();
         List<ClaimShardEffect> effects = new ArrayList<>();
-        written.written().forEach(intent -> settleKept(intent, effects));
+        written.written().forEach(intent -> settleStored(intent, effects));
         effects.addAll(proceed());
         return effects;
     }
 
     /**
-     * Takes in that the shard was no longer at the version of the write.
+     * Processes a conflict: the shard was no longer at the version of the write.
      *
      * @param version its version; 0 if there is none
      */
@@ -146,20 +148,21 @@
         return onRead(version, document);
     }
 
-    /** Takes in that the write under way may or may not be kept. */
+    /** Processes a lost response: the write in flight may or may not have been stored. */
     public List<ClaimShardEffect> onResponseLost() {
         markSent();
-        mLostOnVersion = Optional.of(mBase.orElseThrow().version());
+        mUnconfirmedWriteVersion = Optional.of(mBase.orElseThrow().version());
         mInFlight = Optional.empty();
         mPhase = Phase.READING;
         return List.of(new ReadShard(mNumber));
     }
 
     /**
-     * Takes in that the call under way had no effect because the platform is away.
+     * Processes a failure of the call in flight, which had no effect because the platform is
+     * unavailable.
      *
-     * <p>Claims that wait are given up. Those that an earlier write may have carried are freed as
-     * soon as the platform is back.
+     * <p>Pending claims are abandoned. Those that an earlier write may have stored are released as
+     * soon as the platform is available again.
      *
      * @param nowMillis reading of this host's clock
      */
@@ -170,13 +173,13 @@
         List<ClaimShardEffect> effects = new ArrayList<>();
         for (ClaimIntent intent : List.copyOf(mPending.values())) {
             if (intent.makesClaim()) {
-                giveUp(intent, effects);
+                abandon(intent, effects);
             }
         }
         return effects;
     }
 
-    /** Returns how many changes are not yet known to be kept. */
+    /** Returns the number of changes that are not yet known to be stored. */
     public int pending() {
         return mPending.size();
     }
@@ -185,23 +188,29 @@
         long before = mBase.map(Base::version).orElse(0L);
         Invariants.require(
                 version >= before,
-                () -> "shard " + mNumber + " went back from version " + before + " to " + version);
+                () ->
+                        "version of shard "
+                                + mNumber
+                                + " decreased from "
+                                + before
+                                + " to "
+                                + version);
         mBase = Optional.of(new Base(version, document));
-        mFresh = true;
+        mBaseFresh = true;
         mInFlight = Optional.empty();
         mPhase = Phase.IDLE;
-        if (mLostOnVersion.filter(lost -> lost < version).isPresent()) {
-            mLostOnVersion = Optional.empty();
-            mPending.replaceAll((attempt, intent) -> settledSend(intent));
+        if (mUnconfirmedWriteVersion.filter(lost -> lost < version).isPresent()) {
+            mUnconfirmedWriteVersion = Optional.empty();
+            mPending.replaceAll((attempt, intent) -> withoutPendingSend(intent));
         }
     }
 
-    private static ClaimIntent settledSend(ClaimIntent intent) {
+    private static ClaimIntent withoutPendingSend(ClaimIntent intent) {
         return new ClaimIntent(intent.claim(), intent.target(), false);
     }
 
     private List<ClaimShardEffect> proceed() {
-        boolean due = mFlush || mPending.values().stream().anyMatch(ClaimIntent::urgent);
+        boolean due = mFlushDue || mPending.values().stream().anyMatch(ClaimIntent::urgent);
         if (mPhase != Phase.IDLE || mPending.isEmpty() || !due) {
             return List.of();
         }
@@ -214,18 +223,18 @@
                         mCodec,
                         mBase.get().document(),
                         mPending.values(),
-                        mLostOnVersion.isPresent(),
+                        mUnconfirmedWriteVersion.isPresent(),
                         mNowEpochMillis);
-        boolean hopeless = !merge.taken().isEmpty() || !merge.tooMany().isEmpty();
-        if (hopeless && !mFresh) {
-            // The copy may be old, and the key may have been freed since.
+        boolean hasRejections = !merge.conflicts().isEmpty() || !merge.overCapacity().isEmpty();
+        if (hasRejections && !mBaseFresh) {
+            // The copy may be stale, and the key may have been released since.
             return read();
         }
         List<ClaimShardEffect> effects = new ArrayList<>();
-        merge.kept().forEach(intent -> settleKept(intent, effects));
-        merge.taken().forEach((intent, claim) -> settleTaken(intent, claim, effects));
-        merge.tooMany().forEach(intent -> giveUp(intent, effects));
-        if (merge.changes()) {
+        merge.alreadyStored().forEach(intent -> settleStored(intent, effects));
+        merge.conflicts().forEach((intent, claim) -> settleConflict(intent, claim, effects));
+        merge.overCapacity().forEach(intent -> abandon(intent, effects));
+        if (merge.hasChanges()) {
             mPhase = Phase.WRITING;
             mInFlight = Optional.of(merge);
             effects.add(new WriteShard(mNumber, mBase.get().version(), merge.document()));
@@ -238,10 +247,10 @@
         return List.of(new ReadShard(mNumber));
     }
 
-    private void settleKept(ClaimIntent intent, List<ClaimShardEffect> effects) {
+    private void settleStored(ClaimIntent intent, List<ClaimShardEffect> effects) {
         AttemptId attempt = intent.claim().attempt();
-        Optional<ClaimIntent> wanted = Optional.ofNullable(mPending.get(attempt));
-        boolean superseded = wanted.filter(w -> w.target() != intent.target()).isPresent();
+        Optional<ClaimIntent> current = Optional.ofNullable(mPending.get(attempt));
+        boolean superseded = current.filter(c -> c.target() != intent.target()).isPresent();
         if (superseded) {
             return;
         }
@@ -251,13 +260,13 @@
         }
     }
 
-    private void settleTaken(
+    private void settleConflict(
             ClaimIntent intent, ClaimRecord claim, List<ClaimShardEffect> effects) {
         mPending.remove(intent.claim().attempt());
         effects.add(new Settled(intent.claim(), new ClaimResult.HeldByOther(claim)));
     }
 
-    private void giveUp(ClaimIntent intent, List<ClaimShardEffect> effects) {
+    private void abandon(ClaimIntent intent, List<ClaimShardEffect> effects) {
         if (intent.sent()) {
             mPending.put(intent.claim().attempt(), intent.released());
         } else {
@@ -274,7 +283,7 @@
                         intent ->
                                 mPending.computeIfPresent(
                                         intent.claim().attempt(),
-                                        (attempt, wanted) -> wanted.asSent()));
+                                        (attempt, current) -> current.asSent()));
     }
 
     private static boolean carries(ClaimMerge merge, AttemptId attempt) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardEffect.java
@@ -1,31 +1,32 @@
 package org.cyclamenpaddle.fleet.claim;
 
-/** What the process has to do on behalf of a {@link ClaimShard}. */
+/** Actions that the process performs on behalf of a {@link ClaimShard}. */
 public sealed interface ClaimShardEffect {
 
     /**
-     * Read a shard's object; report by {@code onRead} or {@code onPlatformAway}.
+     * Read a shard's object; report by {@code onRead} or {@code onPlatformUnavailable}.
      *
      * @param shard its number
      */
     record ReadShard(int shard) implements ClaimShardEffect {}
 
     /**
-     * Write a shard's object if it is still at a version; report by {@code onWritten}, {@code
-     * onConflict}, {@code onAnswerLost}, or {@code onPlatformAway} if provably nothing was sent.
+     * Write a shard's object if it still has the expected version; report by {@code onWritten},
+     * {@code onConflict}, {@code onResponseLost}, or {@code onPlatformUnavailable} if provably
+     * nothing was sent.
      *
      * @param shard its number
-     * @param baseVersion the version it must be at; 0 if it must not exist
+     * @param baseVersion the expected version; 0 if the object must not exist
      * @param document its new content
      */
     record WriteShard(int shard, long baseVersion, ClaimDocument document)
             implements ClaimShardEffect {}
 
     /**
-     * Tell the call that made a claim what became of it.
+     * Report the result of a claim to its call.
      *
      * @param claim the claim
-     * @param verdict what became of it
+     * @param result the result
      */
     record Settled(ClaimRecord claim, ClaimResult result) implements ClaimShardEffect {}
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardSettings.java
@@ -5,17 +5,18 @@
 /**
  * Limits of claim shards; the same on all hosts.
  *
- * @param shards how many objects share the claims; never changed while claims are kept
- * @param retentionMillis how long a claim is kept, in milliseconds of wall-clock time
- * @param maxCharacters longest document of a shard; the platform takes one megabyte
- * @param retryMillis wait after the platform was found away
- * @param flushMillis longest wait of an outcome that frees no key; a host that dies meanwhile
- *     leaves the outcome unknown
+ * @param shards number of objects over which the claims are distributed; must not change while
+ *     claims are stored
+ * @param retentionMillis retention period of a claim, in milliseconds of wall-clock time
+ * @param maxCharacters maximum length of a shard's document; the platform accepts one megabyte
+ * @param retryMillis retry delay in milliseconds after the platform was unavailable
+ * @param flushMillis maximum delay in milliseconds of an outcome that releases no key; if the host
+ *     dies within it, the outcome stays unknown
  */
 public record ClaimShardSettings(
         int shards, long retentionMillis, int maxCharacters, long retryMillis, long flushMillis) {
 
-    /** Settings in common use. */
+    /** Default settings. */
     public static final ClaimShardSettings DEFAULTS =
             new ClaimShardSettings(1_024, TimeUnit.HOURS.toMillis(24), 900_000, 500, 1_000);
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimState.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimState.java
@@ -6,18 +6,18 @@
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 
 /**
- * State of a claim as the platform keeps it.
+ * State of a claim, as stored in the platform.
  *
- * <p>Only the attempt that holds a claim ever changes its state. {@link #NOT_RUN} is the one state
- * that frees the key, and a holder writes it only after it has decided never to dispatch. So a
- * holder that was paused finds its claim as it left it, however long the pause.
+ * <p>Only the attempt that holds a claim changes its state. {@link #NOT_RUN} is the only state that
+ * releases the key, and the holder writes it only after it has decided never to dispatch. A holder
+ * that was paused therefore finds its claim unchanged, however long the pause.
  */
 public enum ClaimState {
     /** The holder may dispatch, or has dispatched. */
     CLAIMED(Optional.empty()),
-    /** The call ran and was answered. */
+    /** The call ran, and its response was received. */
     RAN(Optional.of(RunOutcome.RAN)),
-    /** Provably no byte left and none ever will; the key may be claimed anew. */
+    /** Provably no byte was sent and none ever will be; the key may be claimed again. */
     NOT_RUN(Optional.of(RunOutcome.NOT_RUN)),
     /** The call may have run. */
     UNKNOWN(Optional.of(RunOutcome.UNKNOWN));
@@ -28,7 +28,7 @@
         mOutcome = outcome;
     }
 
-    /** Returns what became of the call; empty while that is open. */
+    /** Returns the outcome of the call; empty while it is undecided. */
     public Optional<RunOutcome> outcome() {
         return mOutcome;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/RequestFingerprint.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/RequestFingerprint.java
@@ -5,7 +5,10 @@
 import org.apache.commons.codec.binary.Hex;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Fingerprint of a keyed request, by which a resend is told from another request. */
+/**
+ * Fingerprint of a booking request, which distinguishes a resend from a different request with the
+ * same key.
+ */
 public final class RequestFingerprint {
 
     private static final int HEX_DIGITS = 32;
@@ -16,7 +19,7 @@
      * Returns the first 128 bits of a SHA-256 digest, as lower-case hex.
      *
      * @param method HTTP method
-     * @param pathAndQuery path and query below the service
+     * @param pathAndQuery path and query relative to the service
      * @param body the body
      */
     public static String of(String method, String pathAndQuery, byte[] body) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/package-info.java
@@ -1,2 +1,5 @@
-/** Bookings at most once: claims by key in the platform, and the course of one keyed call. */
+/**
+ * At-most-once bookings: claims of idempotency keys in the platform, and the state machine of one
+ * booking, a plain service call with an Idempotency-Key.
+ */
 package org.cyclamenpaddle.fleet.claim;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** Pure state machines: membership, ownership, configuration replica, drain, recovery, claims. */
+/**
+ * State machines without I/O: membership, ownership, configuration replica, drain, recovery,
+ * claims.
+ */
 package org.cyclamenpaddle.fleet;
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
@@ -20,15 +20,16 @@
 public class BookingMachineTest {
 
     private static final ClaimKey KEY = new ClaimKey(new ServiceName("spot-book"), "lot 7");
-    private static final ClaimRecord MINE = claim("host-a", "cafe");
+    private static final ClaimRecord OWN = claim("host-a", "cafe");
     private static final ClaimRecord OTHER = claim("host-b", "cafe");
-    private static final StoredResponse ANSWER = new StoredResponse(200, "text/plain", "booked");
+    private static final StoredResponse RESPONSE = new StoredResponse(200, "text/plain", "booked");
     private static final long DEADLINE = 1_000;
 
     @Test
-    public void lostClaimAnswerIsReadBackBeforeDispatch() {
-        // The claim's answer is lost, and another host's claim for the same resent booking won.
-        // Dispatching on the assumption that this claim stands would book the lot twice.
+    public void lostClaimResponseIsReadBackBeforeDispatch() {
+        // The response to the claim is lost, and another host has claimed the key of the same
+        // resent booking. Dispatching on the assumption that this claim was stored would run the
+        // booking twice.
         BookingMachine call = started();
 
         assertEquals(
@@ -40,13 +41,13 @@
     }
 
     @Test
-    public void resendWhileTheOtherCallIsOpenIsNeverCalledNotRun() {
-        // The caller sent the booking again through this host, which found the first host's claim
-        // and asked it. Then the platform goes away. That the booking did not run can't be said:
-        // the first host may be running it this moment.
+    public void resendDuringRunningCallIsNeverReportedAsNotRun() {
+        // A resent booking finds the claim of the first host, and then the platform becomes
+        // unavailable. The reply must not be "not run", because the first host may still be running
+        // the booking.
         BookingMachine call = started();
         on(call, new BookingEvent.ClaimConflict(OTHER));
-        on(call, answered(ClaimResponse.State.RUNNING));
+        on(call, holderResponded(ClaimResponse.State.RUNNING));
         on(call, new BookingEvent.Wake());
 
         assertEquals(
@@ -55,84 +56,87 @@
     }
 
     @Test
-    public void platformAwayIsNotRunOnlyIfNoHostKnowsTheKey() {
-        // The platform is away, so no claim can be had. If the request is a resend of a booking
-        // that ran through a host which a peer still remembers, not run would be false, and the
-        // caller would book again under a new key.
+    public void platformOutageIsNotRunOnlyIfNoHostHasARecord() {
+        // No claim can be obtained while the platform is unavailable. If the request is a resend of
+        // a booking that ran and of which a peer has a record, "not run" would be false, and the
+        // caller would book again with a new key.
         BookingMachine first = started();
         on(first, new BookingEvent.PlatformUnavailable());
         BookingMachine resend = started();
         on(resend, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                on(first, peers(true, ClaimResponse.State.NO_RECORD, ClaimResponse.State.NOT_RUN)),
+                on(
+                        first,
+                        peersResponded(
+                                true, ClaimResponse.State.NO_RECORD, ClaimResponse.State.NOT_RUN)),
                 refused(RefusalReason.PLATFORM_AWAY));
         assertEquals(
-                on(resend, peers(true, ClaimResponse.State.RAN)),
+                on(resend, peersResponded(true, ClaimResponse.State.RAN)),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
     @Test
-    public void answersFromBeforeAPauseProveNothing() {
-        // The peers have no record of the key, but this host is paused before it reads that. The
-        // caller gives up, sends again through another host and books. Woken up, this host must
-        // not say that the booking did not run.
+    public void peerResponsesFromBeforeAPauseAreStale() {
+        // The peers have no record of the key, but this host is paused before it processes their
+        // responses. Meanwhile the caller times out and books through another host, so the stale
+        // responses must not lead to "not run".
         BookingMachine call = started();
         on(call, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                call.on(peers(true, ClaimResponse.State.NO_RECORD), 501),
+                call.on(peersResponded(true, ClaimResponse.State.NO_RECORD), 501),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
     @Test
-    public void platformAwayIsUnknownIfAHostWasLost() {
+    public void platformOutageIsUnknownIfAHostWasLost() {
         BookingMachine call = started();
         on(call, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                on(call, peers(false, ClaimResponse.State.NO_RECORD)),
+                on(call, peersResponded(false, ClaimResponse.State.NO_RECORD)),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
     @Test
     public void timeoutWhileConnectingWaitsForTheWriter() {
-        // The caller's deadline passes just as the connection opens. The writer has already
-        // written the first byte. Calling it not run on the deadline alone would be false.
-        BookingMachine call = held();
+        // The caller's deadline expires just as the connection opens and the writer has written the
+        // first byte. "Not run" on the deadline alone would be false.
+        BookingMachine call = claimed();
 
         assertEquals(on(call, new BookingEvent.Timeout()), List.of(new BookingEffect.Abort()));
         on(call, new BookingEvent.FirstByteWritten());
         assertEquals(
                 on(call, new BookingEvent.FailedAfterFirstByte()),
                 List.of(
-                        new BookingEffect.RecordOutcome(MINE, ClaimState.UNKNOWN),
+                        new BookingEffect.RecordOutcome(OWN, ClaimState.UNKNOWN),
                         refused(RefusalReason.BACKEND_FAILED).get(0)));
     }
 
     @Test
-    public void timeoutWhileClaimingFreesTheKey() {
-        // The platform is slow and the deadline passes first. The claim may still be kept; unless
-        // this host frees it, the caller's next try finds the key taken for a whole day.
+    public void timeoutWhileClaimingReleasesTheKey() {
+        // The platform is slow and the deadline expires first. The claim may still be stored;
+        // unless this host releases it, the key stays claimed for the retention period of a day.
         assertTrue(
                 on(started(), new BookingEvent.Timeout())
-                        .contains(new BookingEffect.RecordOutcome(MINE, ClaimState.NOT_RUN)));
+                        .contains(new BookingEffect.RecordOutcome(OWN, ClaimState.NOT_RUN)));
     }
 
     @Test
     public void triesAnotherBackendOnlyBeforeTheFirstByte() {
-        BookingMachine call = held();
+        BookingMachine call = claimed();
 
         assertEquals(
                 on(call, new BookingEvent.ConnectFailedBeforeFirstByte()),
-                List.of(new BookingEffect.Dispatch(MINE.attempt(), 2)));
+                List.of(new BookingEffect.Dispatch(OWN.attempt(), 2)));
         assertEquals(on(call, new BookingEvent.Connected()), List.of(new BookingEffect.SendCall()));
         assertTrue(on(call, new BookingEvent.ConnectFailedBeforeFirstByte()).isEmpty());
     }
 
     @Test
     public void firstByteAfterNotRunBreaksAnInvariant() {
-        BookingMachine call = held();
+        BookingMachine call = claimed();
         on(call, new BookingEvent.Timeout());
         on(call, new BookingEvent.ConnectFailedBeforeFirstByte());
 
@@ -148,7 +152,7 @@
         assertEquals(
                 call.on(new BookingEvent.ClaimWritten(), DEADLINE),
                 List.of(
-                        new BookingEffect.RecordOutcome(MINE, ClaimState.NOT_RUN),
+                        new BookingEffect.RecordOutcome(OWN, ClaimState.NOT_RUN),
                         refused(RefusalReason.PLATFORM_AWAY).get(0)));
     }
 
@@ -160,25 +164,25 @@
     }
 
     @Test
-    public void lateAnswerIsKeptForResends() {
-        // The answer comes after the caller was told that its deadline passed. A resend must get
-        // this answer and not run again.
-        BookingMachine call = held();
+    public void lateResponseIsStoredForResends() {
+        // The response arrives after the deadline was reported to the caller. A resend must get
+        // this response and must not run again.
+        BookingMachine call = claimed();
         on(call, new BookingEvent.Connected());
 
         assertEquals(on(call, new BookingEvent.Timeout()), refused(RefusalReason.DEADLINE_PASSED));
         assertEquals(
-                on(call, new BookingEvent.ResponseComplete(ANSWER)),
-                List.of(new BookingEffect.RecordOutcome(MINE, ClaimState.RAN)));
+                on(call, new BookingEvent.ResponseComplete(RESPONSE)),
+                List.of(new BookingEffect.RecordOutcome(OWN, ClaimState.RAN)));
         assertEquals(
                 call.claimResponse(),
-                new ClaimResponse(ClaimResponse.State.RAN, Optional.of(ANSWER)));
+                new ClaimResponse(ClaimResponse.State.RAN, Optional.of(RESPONSE)));
     }
 
     @Test
-    public void hostThatSawALossDoesNotDenyAKey() {
-        // The host that ran the booking died, and the host asked was started after that. It asks
-        // its peers, which never had the key but saw the loss: they must not vouch for the key.
+    public void hostThatSawALossDoesNotReportAKeyAsUnused() {
+        // The host that ran the booking died, and the querying host started after that. Its peers
+        // never had the key but saw the loss, so they must not report it as unused.
         BookingTable table = new BookingTable(1, 1_000);
 
         assertEquals(state(table, true, 0), ClaimResponse.State.UNKNOWN);
@@ -186,11 +190,11 @@
     }
 
     @Test
-    public void droppedCallIsNotDeniedWhileCallersMaySendAgain() {
+    public void evictedCallIsUnknownWhileCallersMaySendAgain() {
         BookingTable table = new BookingTable(1, 1_000);
-        BookingMachine ran = held();
+        BookingMachine ran = claimed();
         on(ran, new BookingEvent.Connected());
-        on(ran, new BookingEvent.ResponseComplete(ANSWER));
+        on(ran, new BookingEvent.ResponseComplete(RESPONSE));
         table.add(ran, 0);
         table.add(new BookingMachine(claimOf("lot 8"), BookingSettings.DEFAULTS, DEADLINE), 10);
 
@@ -199,17 +203,17 @@
         assertEquals(state(table, false, 1_000), ClaimResponse.State.NO_RECORD);
     }
 
-    private static ClaimResponse.State state(BookingTable table, boolean lost, long now) {
-        return table.claimResponse(KEY, Optional.empty(), lost, now).state();
+    private static ClaimResponse.State state(BookingTable table, boolean hostLost, long now) {
+        return table.claimResponse(KEY, Optional.empty(), hostLost, now).state();
     }
 
     private static BookingMachine started() {
-        BookingMachine call = new BookingMachine(MINE, BookingSettings.DEFAULTS, DEADLINE);
+        BookingMachine call = new BookingMachine(OWN, BookingSettings.DEFAULTS, DEADLINE);
         call.start();
         return call;
     }
 
-    private static BookingMachine held() {
+    private static BookingMachine claimed() {
         BookingMachine call = started();
         on(call, new BookingEvent.ClaimWritten());
         return call;
@@ -219,11 +223,11 @@
         return call.on(event, 0);
     }
 
-    private static BookingEvent answered(ClaimResponse.State state) {
+    private static BookingEvent holderResponded(ClaimResponse.State state) {
         return new BookingEvent.ClaimHolderResponded(new ClaimResponse(state, Optional.empty()));
     }
 
-    private static BookingEvent peers(boolean complete, ClaimResponse.State... states) {
+    private static BookingEvent peersResponded(boolean complete, ClaimResponse.State... states) {
         return new BookingEvent.PeersResponded(List.of(states), complete);
     }
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/ClaimShardTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/ClaimShardTest.java
@@ -23,7 +23,7 @@
             new ClaimShardSettings(1, TimeUnit.HOURS.toMillis(24), 300, 500, 1_000);
     private static final ClaimRecord FIRST = claim("host-a", 1, "key 1", 0);
     private static final ClaimRecord SECOND = claim("host-a", 2, "key 2", 0);
-    private static final ClaimRecord RIVAL = claim("host-b", 1, "key 1", 0);
+    private static final ClaimRecord OTHER = claim("host-b", 1, "key 1", 0);
 
     private ClaimShard mShard;
 
@@ -34,41 +34,41 @@
     }
 
     @Test
-    public void claimsThatWaitShareAWrite() {
+    public void pendingClaimsShareAWrite() {
         mShard.claim(SECOND, 0);
 
         assertEquals(
                 mShard.onRead(0, ClaimDocument.EMPTY),
                 List.of(new WriteShard(0, 0, document(FIRST, SECOND))));
-        assertEquals(mShard.onWritten(1), List.of(held(FIRST), held(SECOND)));
+        assertEquals(mShard.onWritten(1), List.of(acquired(FIRST), acquired(SECOND)));
     }
 
     @Test
-    public void rivalThatWroteFirstKeepsTheKey() {
-        // Two hosts claim one key of a resent booking at once. The platform takes one write; the
-        // other host must see the rival's claim and not its own.
+    public void firstWriterKeepsTheKey() {
+        // Two hosts claim the key of a resent booking concurrently. The platform accepts one write;
+        // the other host must see the stored claim and not its own.
         mShard.onRead(0, ClaimDocument.EMPTY);
 
         assertEquals(
-                mShard.onConflict(1, document(RIVAL)),
-                List.of(new Settled(FIRST, new ClaimResult.HeldByOther(RIVAL))));
+                mShard.onConflict(1, document(OTHER)),
+                List.of(new Settled(FIRST, new ClaimResult.HeldByOther(OTHER))));
     }
 
     @Test
-    public void lostAnswerIsSettledByReadingBack() {
-        // The write took effect and its answer was lost. The claim read back names this attempt,
-        // so the call may run; claiming anew would find the key taken by itself.
+    public void lostResponseIsResolvedByReadingBack() {
+        // The write took effect and its response was lost. The claim read back belongs to this
+        // attempt, so the call may run; another claim would conflict with the attempt's own.
         mShard.onRead(0, ClaimDocument.EMPTY);
 
         assertEquals(mShard.onResponseLost(), List.of(new ReadShard(0)));
-        assertEquals(mShard.onRead(1, document(FIRST)), List.of(held(FIRST)));
+        assertEquals(mShard.onRead(1, document(FIRST)), List.of(acquired(FIRST)));
     }
 
     @Test
-    public void abandonedClaimThatMayStillArriveIsFreed() {
-        // The write's answer is lost and the platform goes away; the caller is refused as not run.
-        // When the platform is back the write has not arrived, but still may. Leaving it at that
-        // would let it arrive later and hold the key for a day.
+    public void abandonedClaimThatMayStillArriveIsReleased() {
+        // The response to the write is lost, the platform becomes unavailable, and the caller gets
+        // "not run". When the platform is available again, the write has not arrived but still may.
+        // Unless it is superseded, it would hold the key for a day.
         mShard.onRead(0, ClaimDocument.EMPTY);
         mShard.onResponseLost();
 
@@ -85,7 +85,7 @@
     }
 
     @Test
-    public void outcomeWaitsForTheNextWriteButNotForLong() {
+    public void outcomeIsBatchedUntilTheFlushDelay() {
         mShard.onRead(0, ClaimDocument.EMPTY);
         mShard.onWritten(1);
         ClaimRecord ran = FIRST.withState(ClaimState.RAN);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    public void refusesAtOnceWhileThePlatformIsAway() {
+    public void refusesImmediatelyWhileThePlatformIsUnavailable() {
         mShard.onPlatformUnavailable(0);
 
         assertEquals(
@@ -122,17 +122,17 @@
     }
 
     @Test
-    public void onlyNotRunFreesTheKey() {
+    public void onlyNotRunReleasesTheKey() {
         for (ClaimState state : ClaimState.values()) {
             readEmptyShard();
-            List<ClaimShardEffect> effects = mShard.onRead(1, document(RIVAL.withState(state)));
+            List<ClaimShardEffect> effects = mShard.onRead(1, document(OTHER.withState(state)));
 
             assertEquals(effects.get(0) instanceof WriteShard, state == ClaimState.NOT_RUN);
         }
     }
 
     @Test
-    public void fullShardRefusesAndOldClaimsMakeRoom() {
+    public void fullShardRefusesUntilOldClaimsExpire() {
         ClaimRecord big = claim("host-b", 3, "k".repeat(100), 0);
         ClaimRecord next = claim("host-b", 4, "n".repeat(100), 0);
 
@@ -150,7 +150,7 @@
     }
 
     @Test
-    public void linesKeepEveryField() {
+    public void codecPreservesEveryField() {
         ClaimLines codec = new ClaimLines();
         ClaimDocument document = document(FIRST.withState(ClaimState.NOT_RUN), SECOND);
 
@@ -159,7 +159,7 @@
         assertTrue(codec.decode("claims 2\n").isLeft());
     }
 
-    private static Settled held(ClaimRecord claim) {
+    private static Settled acquired(ClaimRecord claim) {
         return new Settled(claim, new ClaimResult.Acquired());
     }
 
