--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/GossipReader.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/GossipReader.java
@@ -7,96 +7,100 @@
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.Superseded;
 
 /**
- * Takes in what a host says of others.
+ * Processes the host records that other hosts gossip.
  *
- * <p>A later incarnation and a planned stop are taken as said, since only the host itself can have
- * been their source. A death is a reason to try.
+ * <p>A later incarnation and a planned stop are accepted as reported, since they can originate only
+ * from the host itself. A reported death only triggers a probe.
  */
 final class GossipReader {
 
     private final MemberView mView;
     private final MembershipSettings mSettings;
     private final HeartbeatWriter mWriter;
-    private final Confirmation mConfirmation;
+    private final FailureDetector mFailureDetector;
 
     GossipReader(
             MemberView view,
             MembershipSettings settings,
             HeartbeatWriter writer,
-            Confirmation confirmation) {
+            FailureDetector failureDetector) {
         mView = view;
         mSettings = settings;
         mWriter = writer;
-        mConfirmation = confirmation;
+        mFailureDetector = failureDetector;
     }
 
     /**
-     * Takes one record in.
+     * Processes one record.
      *
-     * @param said the record
-     * @param from who said it
+     * @param reported the record
+     * @param from the host that sent it
      */
-    void read(HostRecord said, HostRecord from, long nowMillis, List<MembershipEffect> effects) {
-        if (mView.isSelf(said)) {
-            readOwn(said, from, effects);
+    void read(
+            HostRecord reported, HostRecord from, long nowMillis, List<MembershipEffect> effects) {
+        if (mView.isSelf(reported)) {
+            readSelf(reported, from, effects);
             return;
         }
-        Optional<Member> known = mView.table().member(MemberView.id(said));
+        Optional<Member> known = mView.table().member(MemberView.id(reported));
         if (known.isEmpty()) {
-            if (said.state() != HostState.DEAD) {
-                mView.add(said, nowMillis, effects);
+            if (reported.state() != HostState.DEAD) {
+                mView.add(reported, nowMillis, effects);
             }
-        } else if (said.incarnation().supersedes(known.get().record().incarnation())) {
-            mView.add(said, nowMillis, effects);
-        } else if (said.incarnation().equals(known.get().record().incarnation())) {
-            readSameLife(known.get(), said.state(), from, nowMillis, effects);
+        } else if (reported.incarnation().supersedes(known.get().record().incarnation())) {
+            mView.add(reported, nowMillis, effects);
+        } else if (reported.incarnation().equals(known.get().record().incarnation())) {
+            readSameIncarnation(known.get(), reported.state(), from, nowMillis, effects);
         }
     }
 
-    /** Takes in what is said of this host itself. */
-    void readOwn(HostRecord said, HostRecord from, List<MembershipEffect> effects) {
-        if (said.incarnation().supersedes(mView.self().incarnation())) {
-            effects.add(new Superseded(said.incarnation()));
+    /** Processes a record of this host itself. */
+    void readSelf(HostRecord reported, HostRecord from, List<MembershipEffect> effects) {
+        if (reported.incarnation().supersedes(mView.self().incarnation())) {
+            effects.add(new Superseded(reported.incarnation()));
             return;
         }
-        boolean doubted = said.state() == HostState.SUSPECT || said.state() == HostState.DEAD;
-        if (doubted && said.incarnation().equals(mView.self().incarnation())) {
-            // A heartbeat of higher number from this host itself refutes it.
-            effects.addAll(mWriter.to(List.of(from), List.of()));
+        boolean suspected =
+                reported.state() == HostState.SUSPECT || reported.state() == HostState.DEAD;
+        if (suspected && reported.incarnation().equals(mView.self().incarnation())) {
+            // A heartbeat with a higher sequence number from this host refutes the suspicion.
+            effects.addAll(mWriter.heartbeats(List.of(from), List.of()));
         }
     }
 
-    private void readSameLife(
+    private void readSameIncarnation(
             Member member,
-            HostState said,
+            HostState reported,
             HostRecord from,
             long nowMillis,
             List<MembershipEffect> effects) {
-        switch (said) {
+        switch (reported) {
             case LEAVING -> {
-                if (member.leave(nowMillis)) {
-                    mView.changed(member, effects);
+                if (member.markLeaving(nowMillis)) {
+                    mView.reportChange(member, effects);
                 }
             }
             case DEAD -> readDeath(member, from, nowMillis, effects);
-            case ALIVE -> mConfirmation.retryDead(member, nowMillis, effects);
+            case ALIVE -> mFailureDetector.probeDead(member, nowMillis, effects);
             default -> {
-                // Another host's suspicion is its own matter until it is confirmed.
+                // Suspicions of other hosts are ignored until they are confirmed.
             }
         }
     }
 
     private void readDeath(
             Member member, HostRecord from, long nowMillis, List<MembershipEffect> effects) {
-        boolean heardLately = nowMillis - member.heardMillis() < mSettings.probeTimeoutMillis();
-        if (member.dead() || heardLately || member.suspicion().isPresent()) {
+        boolean heardRecently = nowMillis - member.heardMillis() < mSettings.probeTimeoutMillis();
+        if (member.dead() || heardRecently || member.suspicion().isPresent()) {
             return;
         }
-        boolean foreign = !from.domain().equals(mView.self().domain());
-        if (foreign && member.relayDeathOnce()) {
+        boolean otherDomain = !from.domain().equals(mView.self().domain());
+        if (otherDomain && member.relayDeathOnce()) {
             List<HostRecord> targets = mView.plan().relayTargets(mView.self());
-            effects.addAll(mWriter.to(targets, List.of(member.record().withState(HostState.DEAD))));
+            effects.addAll(
+                    mWriter.heartbeats(
+                            targets, List.of(member.record().withState(HostState.DEAD))));
         }
-        mConfirmation.suspect(member, false, nowMillis, effects);
+        mFailureDetector.suspect(member, false, nowMillis, effects);
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatSource.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatSource.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
-/** What the rest of the process tells its peers by heartbeat. */
+/** Source of the contents of heartbeats that other parts of the process provide. */
 public interface HeartbeatSource {
 
     /** Returns the digest of the configuration replica. */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatWriter.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatWriter.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.SendTo;
 
-/** Composes this host's heartbeats. */
+/** Builds this host's heartbeats. */
 final class HeartbeatWriter {
 
     private static final Comparator<HostRecord> BY_NAME = Comparator.comparing(MemberView::id);
@@ -35,7 +35,7 @@
     }
 
     /** Returns the heartbeats that are due at each interval. */
-    List<MembershipEffect> regular(long nowMillis) {
+    List<MembershipEffect> periodic(long nowMillis) {
         Set<HostRecord> targets = new HashSet<>(mView.watchers());
         gossipPartner().ifPresent(targets::add);
         Heartbeat heartbeat = heartbeat(gossip(nowMillis));
@@ -46,7 +46,7 @@
     }
 
     /** Returns one heartbeat for each target, all with the same records. */
-    List<MembershipEffect> to(List<HostRecord> targets, List<HostRecord> records) {
+    List<MembershipEffect> heartbeats(List<HostRecord> targets, List<HostRecord> records) {
         if (targets.isEmpty()) {
             return List.of();
         }
@@ -56,8 +56,8 @@
                 .collect(Collectors.toList());
     }
 
-    /** Returns a heartbeat that tells a host all that this one knows. */
-    SendTo introduction(HostRecord to) {
+    /** Returns a heartbeat that carries the complete view of this host. */
+    SendTo completeView(HostRecord to) {
         return new SendTo(to, heartbeat(mView.table().records(member -> true)));
     }
 
@@ -76,7 +76,7 @@
                                 m ->
                                         nowMillis - m.changedMillis()
                                                 < mSettings.recentChangeMillis()));
-        records.addAll(table.inTurn(mSettings.gossipRecords(), member -> true));
+        records.addAll(table.nextInRotation(mSettings.gossipRecords(), member -> true));
         return records.stream()
                 .filter(record -> record.state() != HostState.SUSPECT)
                 .sorted(BY_NAME)
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/IncarnationStatus.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/IncarnationStatus.java
@@ -4,13 +4,13 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 
-/** What is known of one life of a host. */
+/** Status of one incarnation of a host. */
 public enum IncarnationStatus {
-    /** That life goes on as far as is known, be the host suspect or leaving. */
+    /** The incarnation is running as far as is known; the host may be suspect or leaving. */
     RUNNING,
-    /** That life ended: the host is confirmed dead, or a later life of it was heard of. */
+    /** The incarnation has ended: the host is confirmed dead, or a later incarnation is known. */
     ENDED,
-    /** Nothing is known of it. */
+    /** The incarnation is not known. */
     UNKNOWN;
 
     static IncarnationStatus of(HostRecord record, Incarnation incarnation) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Member.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Member.java
@@ -4,24 +4,24 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 
-/** What this host keeps of one other host. */
+/** State of one other host in this host's view. */
 final class Member {
 
     private HostRecord mRecord;
     private boolean mLeaving;
-    private boolean mUnreachableHere;
+    private boolean mUnreachableLocally;
     private boolean mDeathRelayed;
-    private long mHeardMillis;
-    private long mChangedMillis;
-    private long mProbedMillis = Long.MIN_VALUE / 2;
+    private long mLastHeardMillis;
+    private long mStateChangedMillis;
+    private long mLastProbedMillis = Long.MIN_VALUE / 2;
     private long mSequence;
     private Optional<Suspicion> mSuspicion = Optional.empty();
 
     Member(HostRecord record, long nowMillis) {
         mRecord = record;
         mLeaving = record.state() == HostState.LEAVING;
-        mHeardMillis = nowMillis;
-        mChangedMillis = nowMillis;
+        mLastHeardMillis = nowMillis;
+        mStateChangedMillis = nowMillis;
     }
 
     HostRecord record() {
@@ -36,37 +36,37 @@
         return state() == HostState.DEAD;
     }
 
-    /** Returns whether this host would give it work. */
+    /** Returns whether this host may send work to it. */
     boolean usable() {
-        return !mLeaving && !dead() && !mUnreachableHere;
+        return !mLeaving && !dead() && !mUnreachableLocally;
     }
 
-    /** Returns whether it is neither known to live nor known to be dead. */
-    boolean inDoubt() {
+    /** Returns whether it is suspected, so neither known to be alive nor confirmed dead. */
+    boolean suspected() {
         return state() == HostState.SUSPECT;
     }
 
-    boolean unreachableHere() {
-        return mUnreachableHere;
+    boolean unreachableLocally() {
+        return mUnreachableLocally;
     }
 
     long heardMillis() {
-        return mHeardMillis;
+        return mLastHeardMillis;
     }
 
     long changedMillis() {
-        return mChangedMillis;
+        return mStateChangedMillis;
     }
 
     long probedMillis() {
-        return mProbedMillis;
+        return mLastProbedMillis;
     }
 
     Optional<Suspicion> suspicion() {
         return mSuspicion;
     }
 
-    /** Takes note of a heartbeat's number; returns false for one that is late or a duplicate. */
+    /** Records a heartbeat's sequence number; returns false for a late or duplicate heartbeat. */
     boolean acceptSequence(long sequence) {
         if (sequence <= mSequence) {
             return false;
@@ -75,46 +75,46 @@
         return true;
     }
 
-    /** Takes note of a sign of life; returns whether the state changed. */
-    boolean heard(long nowMillis) {
-        mHeardMillis = nowMillis;
+    /** Records proof that the host is alive; returns whether the state changed. */
+    boolean markAlive(long nowMillis) {
+        mLastHeardMillis = nowMillis;
         mSuspicion = Optional.empty();
-        mUnreachableHere = false;
+        mUnreachableLocally = false;
         mDeathRelayed = false;
-        return become(mLeaving ? HostState.LEAVING : HostState.ALIVE, nowMillis);
+        return changeState(mLeaving ? HostState.LEAVING : HostState.ALIVE, nowMillis);
     }
 
-    /** Takes note that the host is going through a planned stop; returns whether that is new. */
-    boolean leave(long nowMillis) {
+    /** Records that the host is in a planned stop; returns whether the state changed. */
+    boolean markLeaving(long nowMillis) {
         mLeaving = true;
-        return state() == HostState.ALIVE && become(HostState.LEAVING, nowMillis);
+        return state() == HostState.ALIVE && changeState(HostState.LEAVING, nowMillis);
     }
 
-    /** Starts a round of confirmation; returns whether the state changed. */
+    /** Starts a confirmation round; returns whether the state changed. */
     boolean suspect(Suspicion suspicion, long nowMillis) {
         mSuspicion = Optional.of(suspicion);
-        mProbedMillis = nowMillis;
-        return become(HostState.SUSPECT, nowMillis);
+        mLastProbedMillis = nowMillis;
+        return changeState(HostState.SUSPECT, nowMillis);
     }
 
-    /** Keeps the host as a suspect that others reach but this host does not. */
-    void unreachable(long nowMillis) {
+    /** Marks the host as a suspect that other hosts can reach but this host cannot. */
+    void markUnreachable(long nowMillis) {
         mSuspicion = Optional.empty();
-        mUnreachableHere = true;
-        mProbedMillis = nowMillis;
+        mUnreachableLocally = true;
+        mLastProbedMillis = nowMillis;
     }
 
-    void die(long nowMillis) {
+    void markDead(long nowMillis) {
         mSuspicion = Optional.empty();
-        mUnreachableHere = false;
-        become(HostState.DEAD, nowMillis);
+        mUnreachableLocally = false;
+        changeState(HostState.DEAD, nowMillis);
     }
 
-    void probed(long nowMillis) {
-        mProbedMillis = nowMillis;
+    void markProbed(long nowMillis) {
+        mLastProbedMillis = nowMillis;
     }
 
-    /** Returns whether the news of its death was not relayed by this host yet, and marks it so. */
+    /** Marks its death as relayed by this host; returns whether it had not been relayed before. */
     boolean relayDeathOnce() {
         boolean first = !mDeathRelayed;
         mDeathRelayed = true;
@@ -122,25 +122,26 @@
     }
 
     /**
-     * Forgives a silence during which this host itself was not running.
+     * Excludes a pause of this host from the silence of the other host.
      *
-     * @param gapMillis how long it was not running
-     * @param retryMillis latest sign of life to assume, if a round of confirmation was going on
+     * @param gapMillis duration of the pause
+     * @param retryMillis time at which the host counts as last heard from, if later, when a
+     *     confirmation round was in progress
      */
-    void forgive(long gapMillis, long retryMillis) {
-        mHeardMillis += gapMillis;
+    void compensatePause(long gapMillis, long retryMillis) {
+        mLastHeardMillis += gapMillis;
         if (mSuspicion.isPresent()) {
             mSuspicion = Optional.empty();
-            mHeardMillis = Math.max(mHeardMillis, retryMillis);
+            mLastHeardMillis = Math.max(mLastHeardMillis, retryMillis);
         }
     }
 
-    private boolean become(HostState state, long nowMillis) {
+    private boolean changeState(HostState state, long nowMillis) {
         if (mRecord.state() == state) {
             return false;
         }
         mRecord = mRecord.withState(state);
-        mChangedMillis = nowMillis;
+        mStateChangedMillis = nowMillis;
         return true;
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberTable.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberTable.java
@@ -12,17 +12,17 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.message.HostRecord;
 
-/** The other hosts, by name, with a turn that walks over them. */
+/** Table of the other hosts by name, with a round-robin cursor. */
 final class MemberTable {
 
     private final TreeMap<HostId, Member> mMembers = new TreeMap<>();
-    private Optional<HostId> mTurn = Optional.empty();
+    private Optional<HostId> mLastInRotation = Optional.empty();
 
     Optional<Member> member(HostId host) {
         return Optional.ofNullable(mMembers.get(host));
     }
 
-    /** Returns the member if it is in this very life. */
+    /** Returns the member if it has exactly this incarnation. */
     Optional<Member> member(Incarnation incarnation) {
         return member(incarnation.host())
                 .filter(member -> member.record().incarnation().equals(incarnation));
@@ -38,7 +38,7 @@
         return member;
     }
 
-    /** Drops members for good. */
+    /** Removes members permanently. */
     void removeIf(Predicate<Member> test) {
         mMembers.values().removeIf(test);
     }
@@ -50,22 +50,23 @@
                 .collect(Collectors.toList());
     }
 
-    /** Returns the next members in turn that pass a test, at most {@code count}. */
-    List<HostRecord> inTurn(int count, Predicate<Member> test) {
+    /** Returns the next members in round-robin order that pass a test, at most {@code count}. */
+    List<HostRecord> nextInRotation(int count, Predicate<Member> test) {
         List<HostRecord> chosen =
-                turnOrder()
+                rotationOrder()
                         .filter(test)
                         .limit(count)
                         .map(Member::record)
                         .collect(Collectors.toCollection(ArrayList::new));
         if (!chosen.isEmpty()) {
-            mTurn = Optional.of(chosen.get(chosen.size() - 1).incarnation().host());
+            mLastInRotation = Optional.of(chosen.get(chosen.size() - 1).incarnation().host());
         }
         return chosen;
     }
 
-    private Stream<Member> turnOrder() {
-        return mTurn.map(
+    private Stream<Member> rotationOrder() {
+        return mLastInRotation
+                .map(
                         last ->
                                 Stream.concat(
                                         mMembers.tailMap(last, false).values().stream(),
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberView.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberView.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.HostChanged;
 
-/** This host, the other hosts, and the watch plan that follows from them. */
+/** View of this host and the other hosts, with the watch plan derived from it. */
 final class MemberView {
 
     private final MembershipSettings mSettings;
@@ -38,29 +38,29 @@
         return id(record).equals(id(mSelf));
     }
 
-    void leave() {
+    void markLeaving() {
         mSelf = mSelf.withState(HostState.LEAVING);
-        replan();
+        invalidatePlan();
     }
 
     Member add(HostRecord record, long nowMillis, List<MembershipEffect> effects) {
         if (mTable.member(id(record)).isPresent()) {
             mSupersededMillis = Optional.of(nowMillis);
         }
-        HostRecord unsuspected =
+        HostRecord initial =
                 record.state() == HostState.SUSPECT ? record.withState(HostState.ALIVE) : record;
-        Member member = mTable.put(unsuspected, nowMillis);
-        replan();
-        changed(member, effects);
+        Member member = mTable.put(initial, nowMillis);
+        invalidatePlan();
+        reportChange(member, effects);
         return member;
     }
 
-    /** Has the watch plan worked out anew, as the hosts that take part changed. */
-    void replan() {
+    /** Invalidates the watch plan after a change of the participating hosts. */
+    void invalidatePlan() {
         mPlan = Optional.empty();
     }
 
-    void changed(Member member, List<MembershipEffect> effects) {
+    void reportChange(Member member, List<MembershipEffect> effects) {
         effects.add(new HostChanged(member.record()));
     }
 
@@ -80,8 +80,8 @@
 
     WatchPlan plan() {
         if (mPlan.isEmpty()) {
-            List<HostRecord> taking = withSelf(true, mTable.records(m -> !m.dead()));
-            WatchPlan plan = new WatchPlan(mSettings, taking);
+            List<HostRecord> participants = withSelf(true, mTable.records(m -> !m.dead()));
+            WatchPlan plan = new WatchPlan(mSettings, participants);
             mPlan = Optional.of(plan);
             mWatched = plan.watchedBy(mSelf);
             mWatchers = plan.watchersOf(mSelf);
@@ -90,24 +90,26 @@
     }
 
     /**
-     * Returns whether some life of a host ended, or is in doubt, so that its memory may be lost.
+     * Returns whether an incarnation of a host ended or is suspected, so that its records may be
+     * lost.
      *
-     * @param sinceMillis from when on an end counts
+     * @param sinceMillis earliest end that counts, as a reading of this host's clock
      */
-    boolean lostSince(long sinceMillis) {
+    boolean hostLostSince(long sinceMillis) {
         boolean superseded = mSupersededMillis.filter(at -> at >= sinceMillis).isPresent();
         return superseded
                 || mTable.members().stream()
-                        .anyMatch(m -> m.inDoubt() || m.dead() && m.changedMillis() >= sinceMillis);
+                        .anyMatch(
+                                m -> m.suspected() || m.dead() && m.changedMillis() >= sinceMillis);
     }
 
-    /** Returns the hosts to which this one sends its heartbeats. */
+    /** Returns the hosts to which this host sends its heartbeats. */
     List<HostRecord> watchers() {
         plan();
         return mWatchers;
     }
 
-    /** Returns whether it is on this host to notice the silence of a member. */
+    /** Returns whether this host is responsible for detecting the silence of a member. */
     boolean watches(Member member) {
         plan();
         return mWatched.contains(id(member.record()));
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
@@ -24,15 +24,14 @@
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.SendTo;
 
 /**
- * One host's view of the entry hosts.
+ * State machine of membership: one host's view of the entry hosts.
  *
- * <p>A host is called dead only after silence, and after this host's own new connection to it
- * failed while no other host asked could reach it. What others say of a death is a reason to try,
- * not a verdict, so a wrong verdict does not spread. A sign of life from the host itself always
- * revives it. Hosts cut off by a partition are dead on either side, and are tried until they answer
- * again.
+ * <p>A host is declared dead only after silence, and after this host's direct probe failed while no
+ * requested host could reach it either. A death reported by another host only triggers a probe, so
+ * a false report does not spread. A message from the host itself always revives it. Hosts separated
+ * by a partition are dead on either side, and are probed until they respond again.
  *
- * <p>Not thread-safe. Every event returns the effects to carry out, in order.
+ * <p>Not thread-safe. Every event returns the effects to perform, in order.
  */
 public final class Membership {
 
@@ -40,11 +39,11 @@
     private final UniformRandomProvider mRandom;
     private final MemberView mView;
     private final HeartbeatWriter mWriter;
-    private final Confirmation mConfirmation;
+    private final FailureDetector mFailureDetector;
     private final GossipReader mGossip;
-    private final Map<HostId, HostRecord> mHints = new LinkedHashMap<>();
+    private final Map<HostId, HostRecord> mHostHints = new LinkedHashMap<>();
     private final Map<HostId, PeerDigest> mDigests = new TreeMap<>();
-    private final Map<Incarnation, Set<HostRecord>> mAskers = new HashMap<>();
+    private final Map<Incarnation, Set<HostRecord>> mProbeRequesters = new HashMap<>();
     private Optional<Long> mNextHeartbeatMillis = Optional.empty();
     private Optional<Long> mNextRetryMillis = Optional.empty();
     private Optional<Long> mLastTickMillis = Optional.empty();
@@ -54,8 +53,8 @@
      *
      * @param self this host's record, alive
      * @param settings timings and sizes
-     * @param source what heartbeats tell besides
-     * @param random chooses gossip partners and helpers
+     * @param source further contents of heartbeats
+     * @param random random source for choosing gossip partners and hosts for indirect probes
      */
     public Membership(
             HostRecord self,
@@ -66,48 +65,48 @@
         mRandom = random;
         mView = new MemberView(self, settings);
         mWriter = new HeartbeatWriter(mView, settings, source, random);
-        mConfirmation = new Confirmation(mView, settings, mWriter, random);
-        mGossip = new GossipReader(mView, settings, mWriter, mConfirmation);
+        mFailureDetector = new FailureDetector(mView, settings, mWriter, random);
+        mGossip = new GossipReader(mView, settings, mWriter, mFailureDetector);
     }
 
     /**
-     * Sends what is due and judges silence; to be called every {@link
+     * Sends due heartbeats and evaluates silent hosts; must be called every {@link
      * MembershipSettings#tickMillis}.
      *
      * @param nowMillis reading of this host's clock
      */
     public List<MembershipEffect> tick(long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
-        noticeOwnPause(nowMillis);
+        detectOwnPause(nowMillis);
         mLastTickMillis = Optional.of(nowMillis);
         if (due(mNextHeartbeatMillis, nowMillis)) {
             mNextHeartbeatMillis = Optional.of(nowMillis + mSettings.heartbeatMillis());
-            effects.addAll(mWriter.regular(nowMillis));
+            effects.addAll(mWriter.periodic(nowMillis));
         }
-        mConfirmation.suspectSilent(nowMillis, effects);
-        mConfirmation.judgeAll(nowMillis, effects);
+        mFailureDetector.suspectSilent(nowMillis, effects);
+        mFailureDetector.evaluateAll(nowMillis, effects);
         if (due(mNextRetryMillis, nowMillis)) {
             mNextRetryMillis = Optional.of(nowMillis + mSettings.retryMillis());
-            retryLost(effects);
-            forgetDead(nowMillis);
+            contactUnreachable(effects);
+            removeDead(nowMillis);
         }
         return effects;
     }
 
-    /** Takes a heartbeat in. */
+    /** Processes a heartbeat. */
     public List<MembershipEffect> onHeartbeat(Heartbeat heartbeat, long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
-        noticeOwnPause(nowMillis);
+        detectOwnPause(nowMillis);
         HostRecord sender = heartbeat.sender();
         if (mView.isSelf(sender)) {
-            mGossip.readOwn(sender, sender, effects);
+            mGossip.readSelf(sender, sender, effects);
             return effects;
         }
         Optional<HostRecord> successor = successor(sender);
         if (successor.isPresent()) {
-            // The old process may only have been paused, with calls in hand; it learns from this
-            // answer that its successor runs.
-            effects.addAll(mWriter.to(List.of(sender), List.of(successor.get())));
+            // The old process may only have been paused with calls in flight; this response tells
+            // it that its successor is running.
+            effects.addAll(mWriter.heartbeats(List.of(sender), List.of(successor.get())));
             return effects;
         }
         Member member =
@@ -115,90 +114,100 @@
                         .member(sender.incarnation())
                         .orElseGet(() -> join(sender, nowMillis, effects));
         if (member.acceptSequence(heartbeat.sequence())) {
-            heard(member, heartbeat, nowMillis, effects);
+            applyHeartbeat(member, heartbeat, nowMillis, effects);
         }
         return effects;
     }
 
     /**
-     * Takes in that another host wants a new connection tried.
+     * Processes a request for an indirect probe.
      *
-     * @param asker who gets the {@link ProbeResponse}
+     * @param requester the host that receives the {@link ProbeResponse}
      */
     public List<MembershipEffect> onProbeRequest(
-            HostRecord asker, ProbeRequest ask, long nowMillis) {
-        mAskers.computeIfAbsent(ask.target().incarnation(), t -> new LinkedHashSet<>()).add(asker);
-        return List.of(new ProbeByNewConnection(ask.target()));
+            HostRecord requester, ProbeRequest request, long nowMillis) {
+        mProbeRequesters
+                .computeIfAbsent(request.target().incarnation(), t -> new LinkedHashSet<>())
+                .add(requester);
+        return List.of(new ProbeByNewConnection(request.target()));
     }
 
-    /** Takes in what a host that was asked found out. */
-    public List<MembershipEffect> onProbeResponse(ProbeResponse answer, long nowMillis) {
+    /** Processes the result of an indirect probe. */
+    public List<MembershipEffect> onProbeResponse(ProbeResponse response, long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
-        noticeOwnPause(nowMillis);
+        detectOwnPause(nowMillis);
         mView.table()
-                .member(answer.target())
-                .ifPresent(m -> mConfirmation.answer(m, answer.reachable(), nowMillis, effects));
+                .member(response.target())
+                .ifPresent(
+                        m ->
+                                mFailureDetector.onIndirectProbeResult(
+                                        m, response.reachable(), nowMillis, effects));
         return effects;
     }
 
     /**
-     * Takes in the result of this host's own new connection.
+     * Processes the result of this host's direct probe.
      *
-     * @param target the incarnation that was tried
-     * @param reachable whether that incarnation answered
+     * @param target the incarnation that was probed
+     * @param reachable whether that incarnation responded
      */
     public List<MembershipEffect> onConnectionProbe(
             Incarnation target, boolean reachable, long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
-        noticeOwnPause(nowMillis);
-        Optional.ofNullable(mAskers.remove(target)).orElse(Set.of()).stream()
-                .map(asker -> new SendTo(asker, new ProbeResponse(target, reachable)))
+        detectOwnPause(nowMillis);
+        Optional.ofNullable(mProbeRequesters.remove(target)).orElse(Set.of()).stream()
+                .map(requester -> new SendTo(requester, new ProbeResponse(target, reachable)))
                 .forEach(effects::add);
         mView.table()
                 .member(target)
-                .ifPresent(m -> mConfirmation.ownResult(m, reachable, nowMillis, effects));
+                .ifPresent(
+                        m ->
+                                mFailureDetector.onDirectProbeResult(
+                                        m, reachable, nowMillis, effects));
         return effects;
     }
 
     /**
-     * Takes in that the usual connection to a host broke; a killed process shows this way at once.
+     * Processes the loss of the existing connection to a host; a killed process is detected this
+     * way immediately.
      *
-     * @param peer the incarnation at its other end
+     * @param peer the incarnation at the other end
      */
     public List<MembershipEffect> onConnectionLost(Incarnation peer, long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
         mView.table()
                 .member(peer)
                 .filter(member -> !member.dead() && member.suspicion().isEmpty())
-                .ifPresent(m -> mConfirmation.suspect(m, true, nowMillis, effects));
+                .ifPresent(m -> mFailureDetector.suspect(m, true, nowMillis, effects));
         return effects;
     }
 
     /**
-     * Takes in the platform's lagging host list, or the peers named in the settings.
+     * Processes the platform's host list, which may lag, or the peers named in the settings.
      *
-     * <p>A hint says only whom to greet: a host joins the view when it answers, with its own word
-     * for its incarnation.
+     * <p>A hint only names hosts to contact: a host joins the view when it responds, with the
+     * incarnation that it reports itself.
      *
-     * @param hint the whole list
+     * @param hint the complete list
      */
     public List<MembershipEffect> onHostList(List<HostRecord> hint, long nowMillis) {
-        mHints.clear();
+        mHostHints.clear();
         hint.stream()
                 .filter(record -> !mView.isSelf(record))
                 .filter(record -> record.state() == HostState.ALIVE)
-                .forEach(record -> mHints.put(MemberView.id(record), record));
+                .forEach(record -> mHostHints.put(MemberView.id(record), record));
         List<MembershipEffect> effects = new ArrayList<>();
-        greetHinted(effects);
+        contactHinted(effects);
         return effects;
     }
 
-    /** Starts this host's planned stop: it owns nothing from now on, and tells all hosts. */
+    /** Starts this host's planned stop: it no longer owns ledgers, and notifies all hosts. */
     public List<MembershipEffect> onLeaving() {
-        mView.leave();
+        mView.markLeaving();
         List<MembershipEffect> effects = new ArrayList<>();
         effects.add(new HostChanged(mView.self()));
-        effects.addAll(mWriter.to(mView.table().records(member -> !member.dead()), List.of()));
+        effects.addAll(
+                mWriter.heartbeats(mView.table().records(member -> !member.dead()), List.of()));
         return effects;
     }
 
@@ -207,16 +216,16 @@
         return mView.self();
     }
 
-    /** Returns all hosts known, with this one, in whatever state. */
+    /** Returns all known hosts in any state, including this one. */
     public List<HostRecord> hosts() {
         return mView.hosts();
     }
 
     /**
-     * Returns the hosts that may own ledgers and get messages, with this one.
+     * Returns the hosts that may own ledgers and receive messages, including this one.
      *
-     * <p>A suspect stays among them until it is confirmed dead or unreachable from here, as most
-     * suspects are alive and moving a ledger to and fro costs grants.
+     * <p>A suspect is included until it is confirmed dead or unreachable from this host, as most
+     * suspects are alive and moving a ledger back and forth costs grants.
      */
     public List<HostRecord> alive() {
         return mView.alive();
@@ -229,12 +238,12 @@
                 .collect(Collectors.toList());
     }
 
-    /** Returns what is known of a host. */
+    /** Returns the record of a host. */
     public Optional<HostRecord> record(HostId host) {
         return mView.record(host);
     }
 
-    /** Returns what is known of one life of a host, for those who act on the end of a life. */
+    /** Returns the status of one incarnation of a host. */
     public IncarnationStatus incarnationStatus(Incarnation incarnation) {
         return record(incarnation.host())
                 .map(record -> IncarnationStatus.of(record, incarnation))
@@ -242,27 +251,30 @@
     }
 
     /**
-     * Returns whether some host died, was restarted or fell silent within a span of time, so that
-     * what it knew may be lost. Ends from before this host's own start are not known to it.
+     * Returns whether a host died, restarted or went silent within a time span, so that its records
+     * may be lost. Losses from before this host's own start are not known to it.
      *
-     * @param spanMillis the span that ends now
+     * @param spanMillis length of the span that ends now, in milliseconds
      */
     public boolean hostLostWithin(long spanMillis, long nowMillis) {
-        return mView.lostSince(nowMillis - spanMillis);
+        return mView.hostLostSince(nowMillis - spanMillis);
     }
 
-    /** Returns what the latest heartbeats of living hosts heard directly said of their replicas. */
+    /**
+     * Returns the replica digests from the latest heartbeats that this host received from live
+     * hosts.
+     */
     public Map<HostId, PeerDigest> peerDigests() {
         return Map.copyOf(mDigests);
     }
 
     /**
-     * Looks for a gap since the last tick before any event is judged: after a pause of this process
-     * the expired timers of its probes may run before its next tick.
+     * Checks for a gap since the last tick before any event is evaluated: after a pause of this
+     * process, expired probe timers may run before its next tick.
      */
-    private void noticeOwnPause(long nowMillis) {
+    private void detectOwnPause(long nowMillis) {
         long gap = mLastTickMillis.map(last -> nowMillis - last).orElse(0L);
-        if (mConfirmation.forgiveOwnPause(gap, nowMillis)) {
+        if (mFailureDetector.compensateOwnPause(gap, nowMillis)) {
             mLastTickMillis = Optional.of(nowMillis);
         }
     }
@@ -280,43 +292,44 @@
 
     private Member join(HostRecord sender, long nowMillis, List<MembershipEffect> effects) {
         Member member = mView.add(sender, nowMillis, effects);
-        effects.add(mWriter.introduction(sender));
+        effects.add(mWriter.completeView(sender));
         return member;
     }
 
-    private void heard(
+    private void applyHeartbeat(
             Member member, Heartbeat heartbeat, long nowMillis, List<MembershipEffect> effects) {
         HostRecord sender = heartbeat.sender();
-        if (sender.state() == HostState.LEAVING && member.leave(nowMillis)) {
-            mView.changed(member, effects);
+        if (sender.state() == HostState.LEAVING && member.markLeaving(nowMillis)) {
+            mView.reportChange(member, effects);
         }
-        mConfirmation.heard(member, nowMillis, effects);
+        mFailureDetector.onAlive(member, nowMillis, effects);
         mDigests.put(
                 MemberView.id(sender),
                 new PeerDigest(
                         heartbeat.configurationDigest(), heartbeat.inForceVersion(), nowMillis));
-        heartbeat.hosts().forEach(said -> mGossip.read(said, sender, nowMillis, effects));
+        heartbeat.hosts().forEach(reported -> mGossip.read(reported, sender, nowMillis, effects));
     }
 
-    private void retryLost(List<MembershipEffect> effects) {
-        List<HostRecord> lost =
-                mView.table().inTurn(1, member -> member.dead() || member.unreachableHere());
-        effects.addAll(mWriter.to(lost, lost));
-        greetHinted(effects);
+    private void contactUnreachable(List<MembershipEffect> effects) {
+        List<HostRecord> unreachable =
+                mView.table()
+                        .nextInRotation(1, member -> member.dead() || member.unreachableLocally());
+        effects.addAll(mWriter.heartbeats(unreachable, unreachable));
+        contactHinted(effects);
     }
 
-    private void greetHinted(List<MembershipEffect> effects) {
-        List<HostRecord> unmet =
-                mHints.values().stream()
+    private void contactHinted(List<MembershipEffect> effects) {
+        List<HostRecord> unknown =
+                mHostHints.values().stream()
                         .filter(hint -> mView.record(MemberView.id(hint)).isEmpty())
                         .collect(Collectors.toList());
-        if (!unmet.isEmpty()) {
-            HostRecord chosen = unmet.get(mRandom.nextInt(unmet.size()));
-            effects.addAll(mWriter.to(List.of(chosen), List.of()));
+        if (!unknown.isEmpty()) {
+            HostRecord chosen = unknown.get(mRandom.nextInt(unknown.size()));
+            effects.addAll(mWriter.heartbeats(List.of(chosen), List.of()));
         }
     }
 
-    private void forgetDead(long nowMillis) {
+    private void removeDead(long nowMillis) {
         MemberTable table = mView.table();
         table.removeIf(
                 member ->
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MembershipEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MembershipEffect.java
@@ -4,11 +4,11 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 
-/** What the process has to do on behalf of {@link Membership}. */
+/** Actions that the process performs on behalf of {@link Membership}. */
 public sealed interface MembershipEffect {
 
     /**
-     * Send a message over the usual connection; losing it is tolerated.
+     * Send a message over the existing connection; message loss is tolerated.
      *
      * @param to the receiver
      * @param message what to send
@@ -19,23 +19,23 @@
      * Open a new connection, exchange {@code Hello} and report by {@link
      * Membership#onConnectionProbe}.
      *
-     * <p>An existing connection proves nothing: it may be silent for good while new ones work. The
-     * probe must end within {@link MembershipSettings#probeTimeoutMillis}; it counts as reachable
-     * only if the very incarnation answered.
+     * <p>An existing connection proves nothing: it may stay silent forever while new ones work. The
+     * probe must end within {@link MembershipSettings#probeTimeoutMillis}; the host counts as
+     * reachable only if exactly this incarnation responded.
      *
-     * @param target the host to try
+     * @param target the host to probe
      */
     record ProbeByNewConnection(HostRecord target) implements MembershipEffect {}
 
     /**
-     * The view of a host changed; ownership and recovery have to be worked out again.
+     * The state of a host changed; ownership and recovery must be re-evaluated.
      *
      * @param host the host with its new state
      */
     record HostChanged(HostRecord host) implements MembershipEffect {}
 
     /**
-     * A later life of this very host was heard of, so this process must take no more work.
+     * A later incarnation of this host exists, so this process must not accept further work.
      *
      * @param by the later incarnation
      */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Suspicion.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Suspicion.java
@@ -2,54 +2,55 @@
 
 import java.util.Optional;
 
-/** One round of confirming that a silent host is dead. */
+/** State of one confirmation round of a suspected host. */
 final class Suspicion {
 
     private final long mDeadlineMillis;
-    private final boolean mFirstHand;
-    private Optional<Boolean> mOwnResult = Optional.empty();
-    private int mAnswersAwaited;
-    private boolean mReachedByOthers;
+    private final boolean mDetectedLocally;
+    private Optional<Boolean> mDirectResult = Optional.empty();
+    private int mPendingResults;
+    private boolean mReachedByProxy;
 
     /**
      * Starts a round.
      *
-     * @param deadlineMillis when answers of others are waited for no more
-     * @param helpers how many others were asked
-     * @param firstHand whether this host itself noticed the silence, and so has to tell others
+     * @param deadlineMillis end of the wait for indirect probes, as a reading of this host's clock
+     * @param proxies number of hosts that were requested to probe
+     * @param detectedLocally whether this host itself detected the silence, and so must notify
+     *     others
      */
-    Suspicion(long deadlineMillis, int helpers, boolean firstHand) {
+    Suspicion(long deadlineMillis, int proxies, boolean detectedLocally) {
         mDeadlineMillis = deadlineMillis;
-        mAnswersAwaited = helpers;
-        mFirstHand = firstHand;
+        mPendingResults = proxies;
+        mDetectedLocally = detectedLocally;
     }
 
-    void ownResult(boolean reachable) {
-        mOwnResult = Optional.of(reachable);
+    void onDirectProbeResult(boolean reachable) {
+        mDirectResult = Optional.of(reachable);
     }
 
-    void answer(boolean reachable) {
-        mAnswersAwaited--;
-        mReachedByOthers |= reachable;
+    void onIndirectProbeResult(boolean reachable) {
+        mPendingResults--;
+        mReachedByProxy |= reachable;
     }
 
-    boolean firstHand() {
-        return mFirstHand;
+    boolean detectedLocally() {
+        return mDetectedLocally;
     }
 
-    boolean reachedByOthers() {
-        return mReachedByOthers;
+    boolean reachedByProxy() {
+        return mReachedByProxy;
     }
 
-    /** Returns whether the own connection failed and no further answer is worth waiting for. */
-    boolean settled(long nowMillis) {
-        boolean unreachable = mOwnResult.isPresent() && !mOwnResult.get();
+    /** Returns whether the direct probe failed and no further result needs to be awaited. */
+    boolean concluded(long nowMillis) {
+        boolean unreachable = mDirectResult.isPresent() && !mDirectResult.get();
         return unreachable
-                && (mReachedByOthers || mAnswersAwaited <= 0 || nowMillis >= mDeadlineMillis);
+                && (mReachedByProxy || mPendingResults <= 0 || nowMillis >= mDeadlineMillis);
     }
 
-    /** Returns whether the report on the own connection is overdue and the probe must be redone. */
+    /** Returns whether the result of the direct probe is overdue and the probe must be repeated. */
     boolean overdue(long nowMillis, long graceMillis) {
-        return mOwnResult.isEmpty() && nowMillis >= mDeadlineMillis + graceMillis;
+        return mDirectResult.isEmpty() && nowMillis >= mDeadlineMillis + graceMillis;
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/WatchPlan.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/WatchPlan.java
@@ -13,11 +13,12 @@
 import org.cyclamenpaddle.fleet.ownership.Rendezvous;
 
 /**
- * Who sends heartbeats to whom, worked out alike by all hosts of one view.
+ * Assigns watchers to hosts; all hosts with the same view compute the same plan.
  *
- * <p>In a small fleet everyone watches everyone. In a greater one a host sends to a few watchers of
- * its own domain and to one of another domain, which notices when a whole domain falls silent. At
- * 410 hosts full mesh would cost each host 818 heartbeats a second against about 10.
+ * <p>In a small fleet every host watches every other. In a larger one a host sends heartbeats to a
+ * few watchers of its own domain and to one of another domain, which detects the failure of an
+ * entire domain. At 410 hosts a full mesh would cost each host 818 heartbeats per second instead of
+ * about 10.
  */
 final class WatchPlan {
 
@@ -38,8 +39,8 @@
     /**
      * Creates the plan of a view.
      *
-     * @param settings counts of watchers
-     * @param hosts hosts that take part, with this host itself
+     * @param settings numbers of watchers
+     * @param hosts participating hosts, including this host
      */
     WatchPlan(MembershipSettings settings, Collection<HostRecord> hosts) {
         mSettings = settings;
@@ -62,7 +63,7 @@
                 .collect(Collectors.toList());
     }
 
-    /** Returns the hosts whose silence {@code watcher} has to notice. */
+    /** Returns the hosts whose silence {@code watcher} must detect. */
     Set<HostId> watchedBy(HostRecord watcher) {
         Candidate self = new Candidate(watcher, Rendezvous.hash(watcher));
         return mHosts.stream()
@@ -71,8 +72,11 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Returns whom to tell urgent news: the own domain and the delegates of each other one. */
-    List<HostRecord> newsTargets(HostRecord self) {
+    /**
+     * Returns the recipients of a death notice: the other hosts of this domain, and the delegates
+     * of every other domain.
+     */
+    List<HostRecord> deathNoticeTargets(HostRecord self) {
         Stream<HostRecord> delegates =
                 mDomainSizes.keySet().stream()
                         .filter(domain -> !domain.equals(self.domain()))
@@ -81,7 +85,7 @@
         return Stream.concat(relayTargets(self).stream(), delegates).collect(Collectors.toList());
     }
 
-    /** Returns whom a delegate tells news from another domain. */
+    /** Returns the hosts to which a delegate relays a death notice from another domain. */
     List<HostRecord> relayTargets(HostRecord self) {
         return in(self.domain()).stream()
                 .filter(host -> !MemberView.id(host).equals(MemberView.id(self)))
@@ -107,7 +111,9 @@
         return ahead < (local ? mSettings.domainWatchers() : remoteWatchers(watched));
     }
 
-    /** Returns how many hosts of other domains watch a host; more if its own domain has few. */
+    /**
+     * Returns the number of watchers from other domains; greater if the host's own domain is small.
+     */
     private long remoteWatchers(Candidate watched) {
         long local = mDomainSizes.getOrDefault(watched.host().domain(), 1L) - 1;
         long missing = Math.max(0, mSettings.domainWatchers() - local);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Membership: heartbeats, suspicion, confirmation and gossip between entry hosts. */
+/** Membership of entry hosts: heartbeats, failure detection and gossip. */
 package org.cyclamenpaddle.fleet.membership;
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
@@ -25,33 +25,33 @@
 
     private static final HostRecord SELF = record("self", "ahm", 1);
     private static final HostRecord PEER = record("peer", "ahm", 1);
-    private static final HostRecord HELPER = record("helper", "ahm", 1);
-    private static final HostRecord FOREIGN = record("foreign", "mhs", 1);
+    private static final HostRecord PROXY = record("helper", "ahm", 1);
+    private static final HostRecord OTHER_DOMAIN_PEER = record("foreign", "mhs", 1);
 
     private Membership mMembership;
     private long mNow;
     private long mSequence;
 
     @BeforeMethod
-    public void meetPeers() {
+    public void joinPeers() {
         mNow = 1_000;
         mSequence = 0;
         mMembership =
                 new Membership(
                         SELF,
                         MembershipSettings.DEFAULTS,
-                        new NoSource(),
+                        new EmptyHeartbeatSource(),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(1));
         mMembership.tick(mNow);
-        hear(PEER);
-        hear(HELPER);
+        heartbeatFrom(PEER);
+        heartbeatFrom(PROXY);
     }
 
     @Test
-    public void silenceAloneIsNoDeath() {
-        // A peer's connection goes silent for good while the peer lives on: its heartbeats stop
-        // here. The report on the new connection is late. Calling the peer dead before it would
-        // cancel the streams of all its callers.
+    public void silentHostIsOnlySuspected() {
+        // A peer's connection goes permanently silent while the peer is alive, and the result of
+        // the direct probe is late. Declaring the peer dead before that result would cancel the
+        // streams of all its callers.
         fallSilent(2_000);
 
         assertEquals(state(PEER), HostState.SUSPECT);
@@ -63,10 +63,10 @@
     }
 
     @Test
-    public void peerReachedByOthersIsNotDead() {
-        // Only the way from this host to the peer is cut: heartbeats stop and the new connection
-        // fails, but the helper gets through. The peer still serves its callers, so its attempts
-        // must not be cancelled; this host just gives it no work.
+    public void peerReachedByIndirectProbeIsNotDead() {
+        // Only the path from this host to the peer is cut: heartbeats stop and the direct probe
+        // fails, but the indirect probe succeeds. The peer still serves its callers, so its
+        // attempts must not be cancelled; this host only stops sending it work.
         fallSilent(900);
         mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), true), mNow);
         mMembership.onConnectionProbe(PEER.incarnation(), false, mNow);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void confirmedDeathIsTold() {
+    public void confirmedDeathIsNotified() {
         fallSilent(900);
         mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), false), mNow);
 
@@ -87,14 +87,14 @@
 
         assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.ENDED);
         assertTrue(mMembership.hostLostWithin(1_000, mNow));
-        assertEquals(told(effects, HELPER), List.of(PEER.withState(HostState.DEAD)));
+        assertEquals(recordsSentTo(effects, PROXY), List.of(PEER.withState(HostState.DEAD)));
     }
 
     @Test
-    public void ownPauseIsNotHeldAgainstPeers() {
-        // This host is paused for five seconds in the middle of trying a suspect. On waking, the
-        // expired timer of its own probe runs first and reports a failure, though the peer did
-        // answer. Without forgiveness the peer would be dead at once.
+    public void ownPauseDoesNotCountAsSilenceOfPeers() {
+        // This host is paused for five seconds while it probes a suspect. On resuming, the expired
+        // timer of its direct probe runs first and reports a failure, although the peer did
+        // respond. Without compensation the peer would be declared dead immediately.
         fallSilent(900);
         mNow += 5_000;
 
@@ -102,16 +102,16 @@
         mMembership.tick(mNow);
 
         assertFalse(state(PEER) == HostState.DEAD);
-        assertEquals(state(HELPER), HostState.ALIVE);
+        assertEquals(state(PROXY), HostState.ALIVE);
     }
 
     @Test
-    public void deathByHearsayIsTriedFirst() {
-        // Another host lost sight of the peer and says that it is dead. This host has not heard
-        // from the peer lately either, but reaches it. Believing the word would spread one host's
-        // error to all, and cancel the peer's streams everywhere.
+    public void reportedDeathIsProbedFirst() {
+        // Another host cannot reach the peer and reports it dead. This host has not heard from the
+        // peer recently either, but can reach it. Accepting the report would spread one host's
+        // error to all hosts and cancel the peer's streams everywhere.
         advance(400);
-        hear(HELPER, PEER.withState(HostState.DEAD));
+        heartbeatFrom(PROXY, PEER.withState(HostState.DEAD));
 
         assertEquals(state(PEER), HostState.SUSPECT);
         mMembership.onConnectionProbe(PEER.incarnation(), true, mNow);
@@ -119,35 +119,36 @@
     }
 
     @Test
-    public void delegateRelaysForeignDeathAtOnce() {
-        // A host dies in this domain, and only a host of another domain noticed. Its word reaches
-        // this delegate alone; the owners of the dead host's attempts sit elsewhere in this domain
-        // and have to free the engines' memory within two seconds.
-        hear(FOREIGN);
+    public void delegateRelaysDeathFromOtherDomainImmediately() {
+        // A host of this domain dies, and only a host of another domain detects it. Its death
+        // notice reaches only this delegate; the owners of the dead host's attempts are other hosts
+        // of this domain and must free the engines' memory within two seconds.
+        heartbeatFrom(OTHER_DOMAIN_PEER);
         advance(400);
 
-        List<MembershipEffect> effects = hear(FOREIGN, PEER.withState(HostState.DEAD));
+        List<MembershipEffect> effects =
+                heartbeatFrom(OTHER_DOMAIN_PEER, PEER.withState(HostState.DEAD));
 
-        assertEquals(told(effects, HELPER), List.of(PEER.withState(HostState.DEAD)));
-        assertTrue(hear(FOREIGN, PEER.withState(HostState.DEAD)).isEmpty());
+        assertEquals(recordsSentTo(effects, PROXY), List.of(PEER.withState(HostState.DEAD)));
+        assertTrue(heartbeatFrom(OTHER_DOMAIN_PEER, PEER.withState(HostState.DEAD)).isEmpty());
     }
 
     @Test
     public void refutesItsOwnDeath() {
-        List<MembershipEffect> effects = hear(PEER, SELF.withState(HostState.DEAD));
+        List<MembershipEffect> effects = heartbeatFrom(PEER, SELF.withState(HostState.DEAD));
 
-        assertEquals(told(effects, PEER), List.of());
+        assertEquals(recordsSentTo(effects, PEER), List.of());
         assertEquals(effects.size(), 1);
     }
 
     @Test
-    public void laterLifeSupersedes() {
-        // A host is restarted faster than anyone notices. Attempts of its former life have no one
-        // who stands for them, although heartbeats never stopped. A late heartbeat of the former
-        // life must not bring it back.
+    public void laterIncarnationSupersedes() {
+        // A host restarts before its failure is detected. Attempts of its former incarnation are
+        // orphaned, although heartbeats never stopped. A late heartbeat of the former incarnation
+        // must not revive it.
         HostRecord later = record("peer", "ahm", 2);
-        hear(later);
-        hear(PEER);
+        heartbeatFrom(later);
+        heartbeatFrom(PEER);
 
         assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.ENDED);
         assertEquals(mMembership.incarnationStatus(later.incarnation()), IncarnationStatus.RUNNING);
@@ -155,7 +156,8 @@
 
     @Test
     public void lateHeartbeatDoesNotReviveTheDead() {
-        // A heartbeat sent before the death arrives after it was confirmed, out of an old buffer.
+        // A heartbeat that was sent before the death and buffered arrives after the death was
+        // confirmed.
         Heartbeat late = heartbeat(PEER, 1);
         fallSilent(900);
         mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), false), mNow);
@@ -168,31 +170,30 @@
 
     @Test
     public void leavingHostOwnsNothingAndStaysOnRecord() {
-        hear(PEER.withState(HostState.LEAVING));
+        heartbeatFrom(PEER.withState(HostState.LEAVING));
 
         assertEquals(state(PEER), HostState.LEAVING);
         assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.RUNNING);
-        assertEquals(mMembership.aliveIn(PEER.domain()), List.of(SELF, HELPER));
+        assertEquals(mMembership.aliveIn(PEER.domain()), List.of(SELF, PROXY));
     }
 
     @Test
-    public void triesForOthers() {
-        ProbeRequest ask = new ProbeRequest(PEER);
+    public void probesOnRequest() {
+        ProbeRequest request = new ProbeRequest(PEER);
 
         assertEquals(
-                mMembership.onProbeRequest(HELPER, ask, mNow),
+                mMembership.onProbeRequest(PROXY, request, mNow),
                 List.of(new ProbeByNewConnection(PEER)));
         assertTrue(
                 mMembership
                         .onConnectionProbe(PEER.incarnation(), false, mNow)
-                        .contains(
-                                new SendTo(HELPER, new ProbeResponse(PEER.incarnation(), false))));
+                        .contains(new SendTo(PROXY, new ProbeResponse(PEER.incarnation(), false))));
     }
 
     private void fallSilent(long millis) {
         for (long passed = 0; passed < millis; passed += 50) {
             mNow += 50;
-            hear(HELPER);
+            heartbeatFrom(PROXY);
             mMembership.tick(mNow);
         }
     }
@@ -204,7 +205,7 @@
         }
     }
 
-    private List<MembershipEffect> hear(HostRecord sender, HostRecord... records) {
+    private List<MembershipEffect> heartbeatFrom(HostRecord sender, HostRecord... records) {
         mSequence++;
         Heartbeat heartbeat = new Heartbeat(sender, mSequence, 0, 0, List.of(records), List.of());
         return mMembership.onHeartbeat(heartbeat, mNow);
@@ -218,7 +219,7 @@
         return mMembership.record(id(host)).orElseThrow().state();
     }
 
-    private static List<HostRecord> told(List<MembershipEffect> effects, HostRecord to) {
+    private static List<HostRecord> recordsSentTo(List<MembershipEffect> effects, HostRecord to) {
         return effects.stream()
                 .filter(SendTo.class::isInstance)
                 .map(SendTo.class::cast)
@@ -232,9 +233,9 @@
         return record.incarnation().host();
     }
 
-    private static HostRecord record(String host, String domain, long life) {
+    private static HostRecord record(String host, String domain, long incarnation) {
         return new HostRecord(
-                new Incarnation(new HostId(host), life),
+                new Incarnation(new HostId(host), incarnation),
                 new FailureDomain(domain),
                 "127.0.0.1",
                 1,
@@ -242,7 +243,7 @@
                 HostState.ALIVE);
     }
 
-    private static final class NoSource implements HeartbeatSource {
+    private static final class EmptyHeartbeatSource implements HeartbeatSource {
 
         @Override
         public long configurationDigest() {
