--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationEffect.java
@@ -6,43 +6,43 @@
 import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 
-/** What the process has to do on behalf of {@link ConfigurationSync}. */
+/** Actions that the process performs on behalf of {@link ConfigurationSync}. */
 public sealed interface ConfigurationEffect {
 
     /** List all configuration objects; report by {@code onListing} or {@code onPlatformFailed}. */
     record ListPlatform() implements ConfigurationEffect {}
 
     /**
-     * Wait for the next events; report by {@code onEvents}, {@code onCompacted} or {@code
+     * Watch for further events; report by {@code onEvents}, {@code onCompacted} or {@code
      * onPlatformFailed}.
      *
-     * @param afterRevision the last revision seen
+     * @param afterRevision the last processed revision
      */
     record StartWatch(long afterRevision) implements ConfigurationEffect {}
 
-    /** Abandon the listing or watch that is under way; its report is ignored. */
+    /** Cancel the listing or watch in flight; its report is ignored. */
     record StopWatch() implements ConfigurationEffect {}
 
     /**
-     * Ask a peer for what it has newer; report by {@code onPeerAnswer} or {@code onPeerFailed}.
+     * Request newer objects from a peer; report by {@code onPeerResponse} or {@code onPeerFailed}.
      *
-     * @param peer whom to ask
-     * @param ask what this host has
+     * @param peer the peer
+     * @param request the versions that this host has
      */
     record QueryPeer(HostRecord peer, ConfigurationRequest request)
             implements ConfigurationEffect {}
 
     /**
-     * Answer a peer's ask.
+     * Respond to a peer's request.
      *
-     * @param answer what it lacks
+     * @param response the objects that the peer lacks
      */
     record Respond(ConfigurationResponse response) implements ConfigurationEffect {}
 
     /**
-     * The replica took in newer objects; decisions have to be made by them from now on.
+     * The replica accepted newer objects, which are effective from now on.
      *
-     * @param objects the objects and tombstones taken in
+     * @param objects the accepted objects and tombstones
      */
     record Applied(List<ConfigurationObject> objects) implements ConfigurationEffect {
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplica.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplica.java
@@ -13,10 +13,10 @@
 import org.cyclamenpaddle.core.invariant.Invariants;
 
 /**
- * This host's copy of the configuration objects.
+ * This host's replica of the configuration objects.
  *
- * <p>For each key it keeps the highest version seen, be it an object or a tombstone. A lower one
- * never replaces it, from whichever source and in whichever order they come. Not thread-safe.
+ * <p>For each key it stores the highest version received, whether an object or a tombstone. A lower
+ * version never replaces it, regardless of source and order of arrival. Not thread-safe.
  */
 public final class ConfigurationReplica {
 
@@ -24,27 +24,27 @@
     private long mDigest;
 
     /**
-     * Takes an object in if it is newer than what is kept for its key.
+     * Stores an object if it is newer than the stored version of its key.
      *
-     * @return whether it was taken in
+     * @return whether the object was stored
      */
     public boolean offer(ConfigurationObject object) {
-        Optional<ConfigurationObject> kept = object(object.key());
-        // A slow peer, a late watch event or an old listing may bring a version that was already
-        // superseded; taking it would bring back a preset that operators have replaced.
-        if (kept.isPresent() && kept.get().version() >= object.version()) {
+        Optional<ConfigurationObject> stored = object(object.key());
+        // A slow peer, a late watch event or an old listing may deliver a superseded version;
+        // accepting it would restore a preset that operators have replaced.
+        if (stored.isPresent() && stored.get().version() >= object.version()) {
             return false;
         }
-        replace(kept, object);
+        replace(stored, object);
         return true;
     }
 
-    /** Takes objects in and returns those that were newer. */
+    /** Stores the objects that are newer and returns them. */
     public List<ConfigurationObject> offerAll(List<ConfigurationObject> objects) {
         return objects.stream().filter(this::offer).collect(Collectors.toList());
     }
 
-    /** Returns the object or tombstone kept for a key. */
+    /** Returns the object or tombstone of a key. */
     public Optional<ConfigurationObject> object(ObjectKey key) {
         return Optional.ofNullable(mObjects.get(key));
     }
@@ -64,16 +64,16 @@
         return object(ObjectKey.inForce()).map(ConfigurationObject::version).orElse(0L);
     }
 
-    /** Returns the versions kept by key path, for an ask to a peer. */
+    /** Returns the stored versions by key path, for a request to a peer. */
     public Map<String, Long> knownVersions() {
         return mObjects.values().stream()
                 .collect(Collectors.toMap(o -> o.key().path(), ConfigurationObject::version));
     }
 
     /**
-     * Returns the objects and tombstones that are newer than what an asker has.
+     * Returns the objects and tombstones that are newer than those of a requester.
      *
-     * @param known versions by key path that the asker has
+     * @param known versions by key path that the requester has
      */
     public List<ConfigurationObject> newerThan(Map<String, Long> known) {
         return mObjects.values().stream()
@@ -82,14 +82,15 @@
     }
 
     /**
-     * Returns tombstones for the kept objects that a whole listing of the platform lacks.
+     * Returns tombstones for stored objects that are missing from a complete listing of the
+     * platform.
      *
-     * <p>An object kept at a version above {@code revision} is newer than the listing and stays.
-     * For the others the revision of the listing serves as the tombstone's version: the deletion
-     * came no later, and a re-creation gets a greater one.
+     * <p>An object with a version above {@code revision} is newer than the listing and is retained.
+     * For the others the revision of the listing serves as the version of the tombstone: the
+     * deletion happened no later, and a re-creation gets a greater version.
      *
      * @param revision the platform's revision at the listing
-     * @param listed all objects that it holds
+     * @param listed all objects of the listing
      */
     public List<ConfigurationObject> tombstonesForMissing(
             long revision, List<ConfigurationObject> listed) {
@@ -102,18 +103,18 @@
                 .collect(Collectors.toList());
     }
 
-    private void replace(Optional<ConfigurationObject> kept, ConfigurationObject object) {
-        long before = kept.map(ConfigurationObject::version).orElse(0L);
+    private void replace(Optional<ConfigurationObject> stored, ConfigurationObject object) {
+        long before = stored.map(ConfigurationObject::version).orElse(0L);
         Invariants.require(
                 object.version() > before,
                 () ->
                         "version of "
                                 + object.key().path()
-                                + " must rise, but "
+                                + " must increase, but "
                                 + object.version()
                                 + " would replace "
                                 + before);
-        kept.ifPresent(old -> mDigest -= hash(old));
+        stored.ifPresent(old -> mDigest -= hash(old));
         mDigest += hash(object);
         mObjects.put(object.key(), object);
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
@@ -18,17 +18,18 @@
 import org.cyclamenpaddle.fleet.ownership.Ownership;
 
 /**
- * Keeps a {@link ConfigurationReplica} in line with the platform and with peers.
+ * Synchronizes a {@link ConfigurationReplica} with the platform and with peers.
  *
- * <p>Two hosts of each failure domain watch the platform; the rest pull from any peer whose
- * heartbeat shows another digest. A host that starts while the platform is away gets the replica
- * the same way, and so does one whose domain is cut off from the platform but not from its peers.
+ * <p>Two hosts of each failure domain watch the platform; the others pull from any peer whose
+ * heartbeat carries a different digest. A host that starts while the platform is unavailable
+ * obtains its replica the same way, as does a host whose domain is partitioned from the platform
+ * but not from its peers.
  *
- * <p>Each host sends heartbeats to its watchers and to one partner by chance, so that most hosts
- * learn of a change within a few rounds, and the rest soon after. If both watchers of a domain have
- * just died, the suspicion has to be confirmed first, and one listing follows.
+ * <p>Each host sends heartbeats to its watchers and to one random partner, so that most hosts learn
+ * of a change within a few rounds, and the rest soon after. If both watchers of a domain have just
+ * died, their failure must be confirmed first, and one listing follows.
  *
- * <p>Not thread-safe. Every event returns the effects to carry out, in order.
+ * <p>Not thread-safe. Every event returns the effects to perform, in order.
  */
 public final class ConfigurationSync {
 
@@ -47,15 +48,15 @@
     private Optional<Long> mRevision = Optional.empty();
     private long mRetryAtMillis;
     private int mFailures;
-    private Optional<Long> mAskedMillis = Optional.empty();
+    private Optional<Long> mRequestedMillis = Optional.empty();
 
     /**
-     * Creates the state machine of a host that neither watches nor asks.
+     * Creates the state machine of a host that neither watches the platform nor queries a peer.
      *
      * @param self this host
-     * @param replica the replica to keep in line
+     * @param replica the replica to synchronize
      * @param settings timings
-     * @param random jitter of retries
+     * @param random random source for the jitter of retries
      */
     public ConfigurationSync(
             HostRecord self,
@@ -69,23 +70,24 @@
     }
 
     /**
-     * Starts or stops watching as the view of the hosts asks, and retries what is due.
+     * Starts or stops watching according to the current view of the hosts, and performs due
+     * retries.
      *
      * @param alive the hosts of the current view
      * @param nowMillis reading of this host's clock
      */
     public List<ConfigurationEffect> tick(Collection<HostRecord> alive, long nowMillis) {
-        boolean chosen =
+        boolean watcher =
                 Ownership.watchers(mSelf.domain(), alive, mSettings.watchersPerDomain()).stream()
                         .anyMatch(host -> host.incarnation().equals(mSelf.incarnation()));
-        if (!chosen) {
+        if (!watcher) {
             return stop();
         }
         boolean due = mPlatform == PlatformState.WAITING && nowMillis >= mRetryAtMillis;
         return mPlatform == PlatformState.NOT_WATCHING || due ? resume() : List.of();
     }
 
-    /** Takes in a whole listing of the platform. */
+    /** Processes a complete listing of the platform. */
     public List<ConfigurationEffect> onListing(long revision, List<ConfigurationObject> listed) {
         if (mPlatform != PlatformState.LISTING) {
             return List.of();
@@ -95,22 +97,22 @@
         return follow(revision, all);
     }
 
-    /** Takes in the events after the revision that the watch started from. */
+    /** Processes the events after the revision from which the watch started. */
     public List<ConfigurationEffect> onEvents(long revision, List<ConfigurationObject> events) {
         return mPlatform == PlatformState.WATCHING ? follow(revision, events) : List.of();
     }
 
-    /** Takes in that the platform no longer has the events asked for. */
+    /** Processes a compaction: the platform no longer has the requested events. */
     public List<ConfigurationEffect> onCompacted() {
         if (mPlatform != PlatformState.WATCHING) {
             return List.of();
         }
-        // Deletions among the lost events would never be seen; only a listing shows them.
+        // Deletions among the compacted events can only be detected by a listing.
         mRevision = Optional.empty();
         return resume();
     }
 
-    /** Takes in that the listing or watch under way failed. */
+    /** Processes a failure of the listing or watch in flight. */
     public List<ConfigurationEffect> onPlatformFailed(long nowMillis) {
         if (mPlatform == PlatformState.LISTING || mPlatform == PlatformState.WATCHING) {
             mPlatform = PlatformState.WAITING;
@@ -121,57 +123,60 @@
     }
 
     /**
-     * Takes in the digest of a peer's replica, as its heartbeat said.
+     * Processes the digest of a peer's replica from a heartbeat.
      *
      * @param peer the sender
      * @param digest its digest
      */
     public List<ConfigurationEffect> onPeerDigest(HostRecord peer, long digest, long nowMillis) {
-        boolean asking =
-                mAskedMillis
-                        .filter(asked -> nowMillis - asked < mSettings.peerTimeoutMillis())
+        boolean requestInFlight =
+                mRequestedMillis
+                        .filter(requested -> nowMillis - requested < mSettings.peerTimeoutMillis())
                         .isPresent();
-        if (asking || digest == mReplica.digest()) {
+        if (requestInFlight || digest == mReplica.digest()) {
             return List.of();
         }
-        mAskedMillis = Optional.of(nowMillis);
+        mRequestedMillis = Optional.of(nowMillis);
         return List.of(new QueryPeer(peer, new ConfigurationRequest(mReplica.knownVersions())));
     }
 
-    /** Answers a peer that asks for what it lacks. */
-    public List<ConfigurationEffect> onPeerRequest(ConfigurationRequest ask) {
+    /** Processes a peer's request for newer objects. */
+    public List<ConfigurationEffect> onPeerRequest(ConfigurationRequest request) {
         return List.of(
-                new Respond(new ConfigurationResponse(mReplica.newerThan(ask.knownVersions()))));
+                new Respond(
+                        new ConfigurationResponse(mReplica.newerThan(request.knownVersions()))));
     }
 
-    /** Takes in a peer's answer, or objects that it pushed. */
-    public List<ConfigurationEffect> onPeerResponse(ConfigurationResponse answer) {
-        mAskedMillis = Optional.empty();
-        return apply(answer.objects());
+    /** Processes a peer's response, or objects that it pushed. */
+    public List<ConfigurationEffect> onPeerResponse(ConfigurationResponse response) {
+        mRequestedMillis = Optional.empty();
+        return apply(response.objects());
     }
 
-    /** Takes in that a peer did not answer; the next digest leads to another ask. */
+    /**
+     * Processes a missing response of a peer; the next differing digest triggers another request.
+     */
     public List<ConfigurationEffect> onPeerFailed() {
-        mAskedMillis = Optional.empty();
+        mRequestedMillis = Optional.empty();
         return List.of();
     }
 
-    /** Takes in an object that this host itself has just written to the platform. */
+    /** Processes an object that this host itself has written to the platform. */
     public List<ConfigurationEffect> onWritten(ConfigurationObject object) {
         return apply(List.of(object));
     }
 
-    /** Returns whether this host is one of those that watch the platform. */
+    /** Returns whether this host watches the platform. */
     public boolean watching() {
         return mPlatform != PlatformState.NOT_WATCHING;
     }
 
     private List<ConfigurationEffect> stop() {
-        boolean underWay =
+        boolean inFlight =
                 mPlatform == PlatformState.LISTING || mPlatform == PlatformState.WATCHING;
         mPlatform = PlatformState.NOT_WATCHING;
         mRevision = Optional.empty();
-        return underWay ? List.of(new StopWatch()) : List.of();
+        return inFlight ? List.of(new StopWatch()) : List.of();
     }
 
     private List<ConfigurationEffect> resume() {
@@ -189,8 +194,8 @@
     }
 
     private List<ConfigurationEffect> apply(List<ConfigurationObject> objects) {
-        List<ConfigurationObject> taken = mReplica.offerAll(objects);
-        return taken.isEmpty() ? List.of() : List.of(new Applied(taken));
+        List<ConfigurationObject> accepted = mReplica.offerAll(objects);
+        return accepted.isEmpty() ? List.of() : List.of(new Applied(accepted));
     }
 
     private long backoff() {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSyncSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSyncSettings.java
@@ -3,15 +3,16 @@
 /**
  * Timings of {@link ConfigurationSync}.
  *
- * @param watchersPerDomain how many hosts of a failure domain watch the platform
- * @param peerTimeoutMillis after which another peer may be asked
- * @param retryMillis first wait after a failed platform call; doubles up to {@code maxRetryMillis}
- * @param maxRetryMillis longest wait after a failed platform call
+ * @param watchersPerDomain number of hosts of a failure domain that watch the platform
+ * @param peerTimeoutMillis timeout after which another peer may be queried
+ * @param retryMillis initial retry delay after a failed platform call; doubles up to {@code
+ *     maxRetryMillis}
+ * @param maxRetryMillis maximum retry delay after a failed platform call
  */
 public record ConfigurationSyncSettings(
         int watchersPerDomain, long peerTimeoutMillis, long retryMillis, long maxRetryMillis) {
 
-    /** Settings that meet the bounds named in {@link ConfigurationSync}. */
+    /** Default settings, which meet the bounds stated in {@link ConfigurationSync}. */
     public static final ConfigurationSyncSettings DEFAULTS =
             new ConfigurationSyncSettings(2, 500, 100, 1_000);
 
@@ -26,7 +27,7 @@
         }
         if (retryMillis <= 0 || maxRetryMillis < retryMillis) {
             throw new IllegalArgumentException(
-                    "retry wait must be above 0 and at most "
+                    "retry delay must be above 0 and at most "
                             + maxRetryMillis
                             + " ms: "
                             + retryMillis);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Replica of the configuration objects on each host, and how it is kept in line with others. */
+/** Replication of the configuration objects to every host. */
 package org.cyclamenpaddle.fleet.configuration;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineReport.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineReport.java
@@ -3,16 +3,18 @@
 import java.util.Optional;
 
 /**
- * What an engine reports of itself.
+ * Status report of an engine.
  *
- * @param setup what it is set up for; empty if for nothing
- * @param fence the highest fencing number it has seen; 0 if none, or if it ignores them
+ * @param setup its current setup; empty if it has none
+ * @param fence highest fencing token that it has seen; 0 if none, or if it ignores fencing tokens
  */
 public record EngineReport(Optional<EngineSetup> setup, long fence) {
 
     public EngineReport {
         if (setup == null || fence < 0) {
-            throw new IllegalArgumentException("engine report with fence " + fence);
+            throw new IllegalArgumentException(
+                    "engine report needs a setup and a fence of at least 0, but has fence "
+                            + fence);
         }
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineSetup.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineSetup.java
@@ -4,11 +4,11 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * What an engine is set up for.
+ * Setup of an engine.
  *
- * @param service the service it serves
- * @param model the model it has loaded
- * @param role what it does for the service
+ * @param service the service that it serves
+ * @param model the model that it has loaded
+ * @param role its role for the service
  */
 public record EngineSetup(ServiceName service, String model, BackendRole role) {
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/FenceStatus.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/FenceStatus.java
@@ -7,10 +7,10 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 
 /**
- * Who may give orders to a backend server, as kept in its status object in the platform.
+ * Fencing status of a backend server, stored in its status object in the platform.
  *
- * @param fence fencing number; rises with each conditional update of the object
- * @param holder the incarnation that may order
+ * @param fence fencing token; increases with each conditional update of the object
+ * @param holder the incarnation that may send orders
  * @param settled whether orders of earlier holders can no longer arrive
  */
 public record FenceStatus(long fence, Incarnation holder, boolean settled) {
@@ -20,7 +20,11 @@
 
     public FenceStatus {
         if (fence <= 0 || holder == null) {
-            throw new IllegalArgumentException("fence " + fence + " of " + holder);
+            throw new IllegalArgumentException(
+                    "fence status needs a fence above 0 and a holder: fence "
+                            + fence
+                            + " of "
+                            + holder);
         }
     }
 
@@ -29,7 +33,7 @@
         return "status/fence/" + backend;
     }
 
-    /** Returns the text kept in the platform. */
+    /** Returns the text stored in the platform. */
     public String text() {
         return String.join(
                 " ",
@@ -40,7 +44,7 @@
                 Boolean.toString(settled));
     }
 
-    /** Returns the status of a text, or what is wrong with the text. */
+    /** Parses a status, or returns a description of the error. */
     public static Either<String, FenceStatus> parse(String text) {
         String[] fields = text.split(" ", -1);
         if (fields.length != FIELDS || !fields[0].equals(FORMAT)) {
@@ -51,7 +55,7 @@
                 .mapLeft(e -> "fence status '" + text + "' is malformed: " + e.getMessage());
     }
 
-    /** Returns the status with which {@code taker} follows {@code previous}. */
+    /** Returns the status with which {@code taker} replaces {@code previous}. */
     static FenceStatus after(
             Optional<FenceStatus> previous, long reported, Incarnation taker, boolean settled) {
         long last = Math.max(previous.map(FenceStatus::fence).orElse(0L), reported);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderController.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderController.java
@@ -15,19 +15,20 @@
 import org.cyclamenpaddle.fleet.order.OrderEffect.TakeFence;
 
 /**
- * Brings one engine in line with the preset in force, on the host that owns its ledger.
+ * Reconciles one engine with the preset in force, on the host that owns the engine's ledger.
  *
- * <p>Level-triggered: it reads what the engine reports, and orders the difference to what is asked,
- * until there is none. Every order carries a fencing number taken by conditional update, so an
- * engine that honours fences refuses an order of a former owner.
+ * <p>Level-triggered: it reads the state that the engine reports and sends orders until that state
+ * matches the desired one. Every order carries a fencing token obtained by conditional update, so
+ * an engine that honours fencing tokens rejects orders of a former owner.
  *
- * <p>For an engine that ignores them a holder sends only within its lease, by its own clock, from
- * before it took the fence. A successor that has taken the fence waits as long as the longest lease
- * and the longest order last, so nothing of its predecessor can arrive any more when it sends. If a
- * predecessor was paused between its last look at the clock and the sending, its order may still
- * arrive late; the next read shows that, and it is corrected.
+ * <p>For an engine that ignores fencing tokens, a holder sends only within its lease, which it
+ * measures by its own clock from before it acquired the token. A successor that has acquired the
+ * token waits for the maximum duration of a lease and of an order, so no order of its predecessor
+ * can arrive after it sends. If a predecessor was paused between its last check of the clock and
+ * the send, its order may still arrive late; the next read detects this, and the setup is
+ * corrected.
  *
- * <p>Not thread-safe. Every event returns the effects to carry out, in order.
+ * <p>Not thread-safe. Every event returns the effects to perform, in order.
  */
 public final class OrderController {
 
@@ -38,7 +39,7 @@
         DRAINING,
         READING_STATUS,
         TAKING_FENCE,
-        WAITING_OUT,
+        WAITING_FOR_LEASE,
         ORDERING
     }
 
@@ -46,21 +47,21 @@
     private final FencingSupport mFencing;
     private final OrderSettings mSettings;
     private Phase mPhase = Phase.IDLE;
-    private Optional<EngineSetup> mAsked = Optional.empty();
-    private Optional<FenceStatus> mTaking = Optional.empty();
+    private Optional<EngineSetup> mDesired = Optional.empty();
+    private Optional<FenceStatus> mFence = Optional.empty();
     private long mReportedFence;
     private long mNextPollMillis = Long.MIN_VALUE;
     private long mLeaseEndMillis = Long.MIN_VALUE;
-    private long mWaitedOutMillis;
-    private boolean mWaiting;
-    private boolean mSlots;
-    private boolean mDrain;
+    private long mLeaseWaitEndMillis;
+    private boolean mWaitingForLease;
+    private boolean mSlotsHeld;
+    private boolean mDrainStarted;
 
     /**
-     * Creates the controller of an engine of which nothing is known.
+     * Creates the controller of an engine whose state is not known yet.
      *
      * @param self this host
-     * @param fencing whether the engine refuses old fencing numbers
+     * @param fencing whether the engine rejects stale fencing tokens
      * @param settings timings
      */
     public OrderController(Incarnation self, FencingSupport fencing, OrderSettings settings) {
@@ -70,60 +71,61 @@
     }
 
     /**
-     * Takes in what is asked, and does what is due.
+     * Updates the desired setup and performs due work.
      *
-     * @param asked what the preset in force asks of the engine; empty if it asks nothing
+     * @param desired setup of the engine in the preset in force; empty if the preset does not
+     *     assign it
      * @param drained whether the drain that was started is complete
      * @param nowMillis reading of this host's clock
      */
-    public List<OrderEffect> tick(Optional<EngineSetup> asked, boolean drained, long nowMillis) {
-        mAsked = asked;
+    public List<OrderEffect> tick(Optional<EngineSetup> desired, boolean drained, long nowMillis) {
+        mDesired = desired;
         if (mPhase == Phase.IDLE && nowMillis >= mNextPollMillis) {
-            return asked.isPresent() ? readState() : release();
+            return desired.isPresent() ? readState() : release();
         }
         if (mPhase == Phase.DRAINING && drained) {
             return readStatus();
         }
-        if (mPhase == Phase.WAITING_OUT && nowMillis >= mWaitedOutMillis) {
+        if (mPhase == Phase.WAITING_FOR_LEASE && nowMillis >= mLeaseWaitEndMillis) {
             return readStatus();
         }
         return List.of();
     }
 
-    /** Takes in what the engine reports. */
+    /** Processes the report of the engine. */
     public List<OrderEffect> onState(EngineReport report, long nowMillis) {
         if (mPhase != Phase.READING_STATE) {
             return List.of();
         }
         mReportedFence = report.fence();
-        if (mAsked.isEmpty() || report.setup().equals(mAsked)) {
-            rest(nowMillis);
+        if (mDesired.isEmpty() || report.setup().equals(mDesired)) {
+            scheduleNextPoll(nowMillis);
             return release();
         }
-        if (mSlots) {
-            return afterSlots();
+        if (mSlotsHeld) {
+            return startDrain();
         }
         mPhase = Phase.ACQUIRING;
         boolean loads =
-                report.setup().filter(s -> s.model().equals(mAsked.get().model())).isEmpty();
+                report.setup().filter(s -> s.model().equals(mDesired.get().model())).isEmpty();
         return List.of(new AcquireSlots(report.setup().map(EngineSetup::service), loads));
     }
 
-    /** Takes in whether the shared slots were had. */
+    /** Processes the result of acquiring the shared slots. */
     public List<OrderEffect> onSlots(boolean acquired, long nowMillis) {
         if (mPhase != Phase.ACQUIRING) {
             return List.of();
         }
-        mSlots = acquired;
+        mSlotsHeld = acquired;
         if (!acquired) {
-            rest(nowMillis);
+            scheduleNextPoll(nowMillis);
             return List.of();
         }
-        return afterSlots();
+        return startDrain();
     }
 
     /**
-     * Takes in the status object.
+     * Processes the status object.
      *
      * @param version its version; 0 if there is none
      * @param status its content, if there is one
@@ -133,84 +135,87 @@
         if (mPhase != Phase.READING_STATUS) {
             return List.of();
         }
-        boolean mine = status.filter(s -> s.holder().equals(mSelf)).isPresent();
-        boolean waitedOut = mine && mWaiting && nowMillis >= mWaitedOutMillis;
+        boolean heldBySelf = status.filter(s -> s.holder().equals(mSelf)).isPresent();
+        boolean leaseWaitEnded = heldBySelf && mWaitingForLease && nowMillis >= mLeaseWaitEndMillis;
         boolean settled =
                 mFencing == FencingSupport.HONOURS
                         || status.isEmpty()
-                        || waitedOut
-                        || mine && status.get().settled();
-        FenceStatus taking = FenceStatus.after(status, mReportedFence, mSelf, settled);
-        mTaking = Optional.of(taking);
-        // The lease counts from before the write: a successor can take the fence only after it,
-        // so its wait ends after the lease however long the answer to this write takes.
+                        || leaseWaitEnded
+                        || heldBySelf && status.get().settled();
+        FenceStatus acquiring = FenceStatus.after(status, mReportedFence, mSelf, settled);
+        mFence = Optional.of(acquiring);
+        // The lease starts before the write. A successor can acquire the token only after the
+        // write, so its wait ends after the lease however long the response to the write takes.
         mLeaseEndMillis = nowMillis + mSettings.leaseMillis();
         mPhase = Phase.TAKING_FENCE;
-        return List.of(new TakeFence(version, taking));
+        return List.of(new TakeFence(version, acquiring));
     }
 
-    /** Takes in that the status object now names this host. */
+    /** Processes the success of the update: the status object now names this host. */
     public List<OrderEffect> onFenceTaken(long nowMillis) {
         if (mPhase != Phase.TAKING_FENCE) {
             return List.of();
         }
-        if (!mTaking.orElseThrow().settled()) {
-            mPhase = Phase.WAITING_OUT;
-            mWaiting = true;
-            mWaitedOutMillis = nowMillis + mSettings.leaseMillis() + mSettings.orderMillis();
+        if (!mFence.orElseThrow().settled()) {
+            mPhase = Phase.WAITING_FOR_LEASE;
+            mWaitingForLease = true;
+            mLeaseWaitEndMillis = nowMillis + mSettings.leaseMillis() + mSettings.orderMillis();
             return List.of();
         }
-        mWaiting = false;
+        mWaitingForLease = false;
         return send(nowMillis);
     }
 
-    /** Takes in that another host wrote first, or that it is not known who did. */
+    /** Processes a conflict or a lost response: another host may hold the token. */
     public List<OrderEffect> onFenceUnsure() {
         return mPhase == Phase.TAKING_FENCE ? readStatus() : List.of();
     }
 
     /**
-     * Returns whether an order with a fencing number may leave now.
+     * Returns whether an order with a fencing token may be sent now.
      *
-     * @param fence the number that the order carries
-     * @param nowMillis reading of this host's clock, right before the first byte
+     * @param fence fencing token that the order carries
+     * @param nowMillis reading of this host's clock, immediately before the first byte is written
      */
     public boolean maySend(long fence, long nowMillis) {
-        boolean current = mTaking.filter(taken -> taken.fence() == fence).isPresent();
+        boolean current = mFence.filter(status -> status.fence() == fence).isPresent();
         return mPhase == Phase.ORDERING && current && nowMillis < mLeaseEndMillis;
     }
 
-    /** Takes in that an order was carried out, refused, not sent or lost; the engine tells. */
+    /**
+     * Processes the end of an order that was executed, rejected, not sent or lost; the engine's
+     * next report shows which.
+     */
     public List<OrderEffect> onOrderEnded(long nowMillis) {
         return mPhase == Phase.ORDERING ? readState() : List.of();
     }
 
-    /** Takes in that the engine or the platform could not be reached. */
+    /** Processes a failure to reach the engine or the platform. */
     public List<OrderEffect> onFailed(long nowMillis) {
-        rest(nowMillis);
+        scheduleNextPoll(nowMillis);
         return List.of();
     }
 
-    /** Gives up the engine because another host owns it now. */
+    /** Stops managing the engine because another host owns it now. */
     public List<OrderEffect> stop() {
         mPhase = Phase.IDLE;
-        mWaiting = false;
+        mWaitingForLease = false;
         return release();
     }
 
-    private List<OrderEffect> afterSlots() {
-        if (mDrain) {
+    private List<OrderEffect> startDrain() {
+        if (mDrainStarted) {
             mPhase = Phase.DRAINING;
             return List.of();
         }
         mPhase = Phase.DRAINING;
-        mDrain = true;
+        mDrainStarted = true;
         return List.of(new StartDrain());
     }
 
     private List<OrderEffect> send(long nowMillis) {
-        if (mAsked.isEmpty()) {
-            rest(nowMillis);
+        if (mDesired.isEmpty()) {
+            scheduleNextPoll(nowMillis);
             return List.of();
         }
         if (nowMillis >= mLeaseEndMillis) {
@@ -219,7 +224,7 @@
         mPhase = Phase.ORDERING;
         return List.of(
                 new SendOrder(
-                        mTaking.orElseThrow().fence(), mAsked.get(), mSettings.orderMillis()));
+                        mFence.orElseThrow().fence(), mDesired.get(), mSettings.orderMillis()));
     }
 
     private List<OrderEffect> readState() {
@@ -232,19 +237,19 @@
         return List.of(new ReadStatus());
     }
 
-    private void rest(long nowMillis) {
+    private void scheduleNextPoll(long nowMillis) {
         mPhase = Phase.IDLE;
         mNextPollMillis = nowMillis + mSettings.pollMillis();
     }
 
     private List<OrderEffect> release() {
         List<OrderEffect> effects = new ArrayList<>();
-        if (mDrain) {
-            mDrain = false;
+        if (mDrainStarted) {
+            mDrainStarted = false;
             effects.add(new EndDrain());
         }
-        if (mSlots) {
-            mSlots = false;
+        if (mSlotsHeld) {
+            mSlotsHeld = false;
             effects.add(new ReleaseSlots());
         }
         return effects;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderEffect.java
@@ -3,49 +3,51 @@
 import java.util.Optional;
 import org.cyclamenpaddle.core.id.ServiceName;
 
-/** What the owner of a backend server has to do on behalf of an {@link OrderController}. */
+/** Actions that the owner of a backend server performs on behalf of an {@link OrderController}. */
 public sealed interface OrderEffect {
 
-    /** Ask the engine what it is set up for; report by {@code onState} or {@code onFailed}. */
+    /** Read the state of the engine; report by {@code onState} or {@code onFailed}. */
     record ReadState() implements OrderEffect {}
 
     /**
-     * Take the shared slots that a change needs, all or none; report by {@code onSlots}.
+     * Acquire the shared slots that a change needs, all or none; report by {@code onSlots}.
      *
-     * @param leaves the service that loses the engine meanwhile; see {@link RolloutBudget}
-     * @param loadsWeights whether weights have to be loaded; see {@link WeightLoadBudget}
+     * @param leaves the service that the engine leaves during the change; see {@link RolloutBudget}
+     * @param loadsWeights whether weights must be loaded; see {@link WeightLoadBudget}
      */
     record AcquireSlots(Optional<ServiceName> leaves, boolean loadsWeights)
             implements OrderEffect {}
 
-    /** Give back whatever shared slots are held for this backend server. */
+    /** Release all shared slots held for this backend server. */
     record ReleaseSlots() implements OrderEffect {}
 
-    /** Drain the backend server; {@code tick} is told when it is drained. */
+    /**
+     * Drain the backend server; the {@code drained} argument of {@code tick} reports completion.
+     */
     record StartDrain() implements OrderEffect {}
 
-    /** Let the backend server take work again as far as its setup allows. */
+    /** Let the backend server accept work again, as far as its setup allows. */
     record EndDrain() implements OrderEffect {}
 
     /** Read the status object; report by {@code onStatus} or {@code onFailed}. */
     record ReadStatus() implements OrderEffect {}
 
     /**
-     * Write the status object if it is still at a version; report by {@code onFenceTaken}, or by
-     * {@code onFenceUnsure} on a conflict or a lost answer.
+     * Write the status object if it still has the expected version; report by {@code onFenceTaken},
+     * or by {@code onFenceUnsure} on a conflict or a lost response.
      *
-     * @param expectedVersion the version it must be at; 0 if it must not exist
+     * @param expectedVersion the expected version; 0 if the object must not exist
      * @param status its new content
      */
     record TakeFence(long expectedVersion, FenceStatus status) implements OrderEffect {}
 
     /**
-     * Order a setup; ask {@link OrderController#maySend} right before the bytes leave. Report by
-     * {@code onOrderEnded}.
+     * Send an order for a setup; check {@link OrderController#maySend} immediately before the first
+     * byte is written. Report by {@code onOrderEnded}.
      *
-     * @param fence the fencing number to carry
+     * @param fence fencing token of the order
      * @param setup the setup to order
-     * @param timeoutMillis after which the engine, or the connection, gives the order up
+     * @param timeoutMillis timeout after which the engine, or the connection, abandons the order
      */
     record SendOrder(long fence, EngineSetup setup, long timeoutMillis) implements OrderEffect {}
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderSettings.java
@@ -1,15 +1,17 @@
 package org.cyclamenpaddle.fleet.order;
 
 /**
- * Timings of orders; the same on all hosts, as a successor waits out what its predecessor had.
+ * Timings of orders; must be the same on all hosts, as a successor waits for the end of its
+ * predecessor's lease.
  *
- * @param leaseMillis how long after it took the fence a holder may send an order
- * @param orderMillis longest time from the sending of an order to its last effect
+ * @param leaseMillis duration of the lease from acquiring the fencing token, within which the
+ *     holder may send orders
+ * @param orderMillis maximum time from sending an order to its last effect
  * @param pollMillis interval between reads of an engine's state
  */
 public record OrderSettings(long leaseMillis, long orderMillis, long pollMillis) {
 
-    /** Settings for engines that load a model within half a minute. */
+    /** Default settings, for engines that load a model within 30 seconds. */
     public static final OrderSettings DEFAULTS = new OrderSettings(5_000, 30_000, 1_000);
 
     public OrderSettings {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/RolloutBudget.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/RolloutBudget.java
@@ -3,11 +3,11 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * How many backend servers of one service may be out of service for a change at a time.
+ * Limits how many backend servers of one service may be drained for a change at the same time.
  *
- * <p>Their owners are spread over many hosts, so the count is kept in the platform, as {@link
- * SharedSlots} of the service. Without it a new preset would drain all of a service's backend
- * servers at once.
+ * <p>Their owners are distributed over many hosts, so the count is stored in the platform, as
+ * {@link SharedSlots} of the service. Without the limit a new preset would drain all backend
+ * servers of a service at once.
  *
  * @param percent share of the service's backend servers, 1 to 100
  */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/SharedSlots.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/SharedSlots.java
@@ -13,15 +13,15 @@
 import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 
 /**
- * Changes under way that share one limit over all hosts, as one object of the platform.
+ * Distributed semaphore for concurrent changes, stored as one object in the platform.
  *
- * <p>Hosts change it by conditional update. A slot of a host whose life has ended is free.
+ * <p>Hosts modify it by conditional update. Slots of ended incarnations are free.
  *
- * @param holders which host changes which backend server
+ * @param holders the holder of each slot, by the backend server that it changes
  */
 public record SharedSlots(Map<BackendId, Incarnation> holders) {
 
-    /** No change is under way. */
+    /** No slot is held. */
     public static final SharedSlots EMPTY = new SharedSlots(Map.of());
 
     private static final String HEADER = "slots 1\n";
@@ -32,34 +32,36 @@
     }
 
     /**
-     * Returns the slots with one more taken; empty if the limit is reached.
+     * Returns the slots with one more acquired; empty if the limit is reached.
      *
      * @param backend the backend server to be changed
      * @param taker the host that changes it
-     * @param limit how many changes may be under way
-     * @param standing what is known of an incarnation
+     * @param limit maximum number of concurrent changes
+     * @param status status of an incarnation
      */
     public Optional<SharedSlots> acquire(
             BackendId backend,
             Incarnation taker,
             int limit,
-            Function<Incarnation, IncarnationStatus> standing) {
-        Map<BackendId, Incarnation> kept =
+            Function<Incarnation, IncarnationStatus> status) {
+        Map<BackendId, Incarnation> remaining =
                 holders.entrySet().stream()
-                        .filter(e -> standing.apply(e.getValue()) != IncarnationStatus.ENDED)
+                        .filter(e -> status.apply(e.getValue()) != IncarnationStatus.ENDED)
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
-        kept.put(backend, taker);
-        return kept.size() <= limit ? Optional.of(new SharedSlots(kept)) : Optional.empty();
+        remaining.put(backend, taker);
+        return remaining.size() <= limit
+                ? Optional.of(new SharedSlots(remaining))
+                : Optional.empty();
     }
 
-    /** Returns the slots without one, if this host holds it. */
+    /** Returns the slots without the one of a backend server, if {@code holder} holds it. */
     public SharedSlots release(BackendId backend, Incarnation holder) {
-        Map<BackendId, Incarnation> kept = new TreeMap<>(holders);
-        kept.remove(backend, holder);
-        return new SharedSlots(kept);
+        Map<BackendId, Incarnation> remaining = new TreeMap<>(holders);
+        remaining.remove(backend, holder);
+        return new SharedSlots(remaining);
     }
 
-    /** Returns the text kept in the platform. */
+    /** Returns the text stored in the platform. */
     public String text() {
         return new TreeMap<>(holders)
                 .entrySet().stream()
@@ -67,14 +69,14 @@
                         .collect(Collectors.joining("", HEADER, ""));
     }
 
-    /** Returns the slots of a text, or what is wrong with the text. */
+    /** Parses slots, or returns a description of the error. */
     public static Either<String, SharedSlots> parse(String text) {
         if (!text.startsWith(HEADER)) {
-            return Either.left("slots do not start with '" + HEADER.trim() + "'");
+            return Either.left("shared slots do not start with '" + HEADER.trim() + "'");
         }
         return Try.of(() -> of(text.substring(HEADER.length())))
                 .toEither()
-                .mapLeft(error -> "slots are malformed: " + error.getMessage());
+                .mapLeft(error -> "shared slots are malformed: " + error.getMessage());
     }
 
     private static String line(BackendId backend, Incarnation holder) {
@@ -97,7 +99,7 @@
     private static String[] fields(String line) {
         String[] fields = line.split(" ", -1);
         if (fields.length != FIELDS) {
-            throw new IllegalArgumentException("line '" + line + "'");
+            throw new IllegalArgumentException("line '" + line + "' does not have 3 fields");
         }
         return fields;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/WeightLoadBudget.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/WeightLoadBudget.java
@@ -1,10 +1,11 @@
 package org.cyclamenpaddle.fleet.order;
 
 /**
- * How many engines may load weights at a time, so that each load ends within its order's time.
+ * Limits how many engines may load weights concurrently, so that each load completes within the
+ * timeout of its order.
  *
- * @param storeBytesPerSecond rate of the weight store, shared by all loads
- * @param loadBytesPerSecond rate that one load needs to end in time
+ * @param storeBytesPerSecond bandwidth of the weight store, shared by all loads
+ * @param loadBytesPerSecond bandwidth that one load needs to complete in time
  */
 public record WeightLoadBudget(long storeBytesPerSecond, long loadBytesPerSecond) {
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: bringing each one in line with what the preset in force asks. */
+/** Orders to engines, which reconcile each engine with the preset in force. */
 package org.cyclamenpaddle.fleet.order;
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplicaTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplicaTest.java
@@ -18,8 +18,9 @@
 
     @Test
     public void slowPeerDoesNotRevertThePreset() {
-        // An operator switches the preset, this host has it from its watch. A peer that was cut off
-        // answers an older ask with the former preset. Taking it would revert the switch here.
+        // An operator switches the preset, and this host receives the change from its watch. A peer
+        // that was partitioned responds to an older request with the former preset. Accepting it
+        // would revert the switch on this host.
         ConfigurationReplica replica = new ConfigurationReplica();
         ConfigurationObject peak = object(ObjectKey.inForce(), 5, "peak");
         replica.offer(peak);
@@ -31,10 +32,10 @@
     }
 
     @Test
-    public void oldListingDoesNotDeleteWhatIsNewer() {
-        // A listing is under way while a service is created and reaches this host through a peer.
-        // The listing lacks it. Taking that for a deletion would drop the new service, and since
-        // its tombstone spreads, on every host.
+    public void oldListingDoesNotDeleteNewerObjects() {
+        // While a listing is in flight, a service is created and reaches this host through a peer.
+        // The listing lacks it. Treating that as a deletion would remove the new service, and as
+        // tombstones are replicated, on every host.
         ConfigurationReplica replica = new ConfigurationReplica();
         replica.offer(object(SERVICE, 9, "new"));
 
@@ -45,7 +46,7 @@
     }
 
     @Test
-    public void tombstoneKeepsAnOldVersionOut() {
+    public void tombstoneRejectsAnOlderVersion() {
         ConfigurationReplica replica = new ConfigurationReplica();
         replica.offer(new ConfigurationObject(SERVICE, 3, Optional.empty()));
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
@@ -21,23 +21,24 @@
     private static final Incarnation SELF = new Incarnation(new HostId("host-a"), 1);
     private static final Incarnation OTHER = new Incarnation(new HostId("host-b"), 1);
     private static final ServiceName SERVICE = new ServiceName("malt-reader");
-    private static final EngineSetup ASKED = new EngineSetup(SERVICE, "malt-1", BackendRole.DECODE);
+    private static final EngineSetup DESIRED =
+            new EngineSetup(SERVICE, "malt-1", BackendRole.DECODE);
     private static final EngineSetup FORMER =
             new EngineSetup(SERVICE, "malt-1", BackendRole.PREFILL);
     private static final OrderSettings SETTINGS = new OrderSettings(500, 400, 200);
 
     @Test
-    public void drainsBeforeItOrders() {
+    public void drainsBeforeSendingAnOrder() {
         OrderController controller = controller(FencingSupport.HONOURS);
-        controller.tick(Optional.of(ASKED), false, 0);
+        controller.tick(Optional.of(DESIRED), false, 0);
 
         assertEquals(
                 controller.onState(new EngineReport(Optional.of(FORMER), 7), 0),
                 List.of(new OrderEffect.AcquireSlots(Optional.of(SERVICE), false)));
         assertEquals(controller.onSlots(true, 0), List.of(new OrderEffect.StartDrain()));
-        assertTrue(controller.tick(Optional.of(ASKED), false, 10).isEmpty());
+        assertTrue(controller.tick(Optional.of(DESIRED), false, 10).isEmpty());
         assertEquals(
-                controller.tick(Optional.of(ASKED), true, 20),
+                controller.tick(Optional.of(DESIRED), true, 20),
                 List.of(new OrderEffect.ReadStatus()));
         assertEquals(
                 controller.onStatus(0, Optional.empty(), 20),
@@ -46,9 +47,9 @@
 
     @Test
     public void pausedHolderDoesNotSendAfterItsLease() {
-        // The engine ignores fences. The holder takes its fence, and is paused between deciding to
-        // order and sending. Its successor has meanwhile waited and set the engine up. A late
-        // order would turn the engine back to a preset that is no longer in force.
+        // The engine ignores fencing tokens, and the holder is paused between deciding to send an
+        // order and sending it. Its successor has meanwhile waited and changed the engine's setup.
+        // A late order would revert the engine to a preset that is no longer in force.
         OrderController controller = ordering(100);
 
         assertTrue(controller.maySend(1, 499));
@@ -56,10 +57,10 @@
     }
 
     @Test
-    public void leaseCountsFromBeforeTheFenceWasTaken() {
-        // The answer to the conditional update takes long, or the holder is paused before it reads
-        // it. The successor's wait may have begun right after the update. A lease counted from the
-        // answer would outlive that wait.
+    public void leaseStartsBeforeTheFenceIsTaken() {
+        // The response to the conditional update is delayed, or the holder is paused before it
+        // reads it. The successor's wait may have begun right after the update. A lease counted
+        // from the response would outlast that wait.
         OrderController controller = ready();
         controller.onStatus(0, Optional.empty(), 0);
 
@@ -67,9 +68,10 @@
     }
 
     @Test
-    public void successorWaitsOutItsPredecessorEvenAfterItsOwnRestart() {
-        // The successor takes the fence and begins to wait, gives the engine up and gets it back.
-        // The status names itself by now, but an order of its predecessor may still arrive.
+    public void successorWaitsForPredecessorAlsoAfterRegainingOwnership() {
+        // The successor acquires the token and begins to wait, then loses the ownership of the
+        // engine and regains it. The status already names the successor, but an order of its
+        // predecessor may still arrive.
         OrderController controller = ready();
         FenceStatus predecessor = new FenceStatus(4, OTHER, true);
         FenceStatus taken = new FenceStatus(5, SELF, false);
@@ -84,23 +86,23 @@
                 controller.onStatus(10, Optional.of(taken), 300),
                 List.of(new OrderEffect.TakeFence(10, new FenceStatus(6, SELF, false))));
         assertTrue(controller.onFenceTaken(310).isEmpty());
-        assertTrue(controller.tick(Optional.of(ASKED), true, 1_209).isEmpty());
+        assertTrue(controller.tick(Optional.of(DESIRED), true, 1_209).isEmpty());
         assertEquals(
-                controller.tick(Optional.of(ASKED), true, 1_210),
+                controller.tick(Optional.of(DESIRED), true, 1_210),
                 List.of(new OrderEffect.ReadStatus()));
     }
 
     @Test
-    public void limitCountsChangesOfAllHostsAndFreesThoseOfEndedOnes() {
-        // A new preset changes a service's engines, whose owners are spread over many hosts. All
-        // of them draining at once would leave the service without capacity.
+    public void limitCountsAllHostsAndIgnoresEndedIncarnations() {
+        // A new preset changes all engines of a service, whose owners are distributed over many
+        // hosts. Draining all of them at once would leave the service without capacity.
         BackendId one = new BackendId("engine-1");
         BackendId two = new BackendId("engine-2");
         SharedSlots held = new SharedSlots(Map.of(one, OTHER));
 
-        assertTrue(held.acquire(two, SELF, 1, life -> IncarnationStatus.RUNNING).isEmpty());
+        assertTrue(held.acquire(two, SELF, 1, incarnation -> IncarnationStatus.RUNNING).isEmpty());
         assertEquals(
-                held.acquire(two, SELF, 1, life -> IncarnationStatus.ENDED),
+                held.acquire(two, SELF, 1, incarnation -> IncarnationStatus.ENDED),
                 Optional.of(new SharedSlots(Map.of(two, SELF))));
         assertEquals(held.release(one, SELF), held);
         assertEquals(SharedSlots.parse(held.text()).get(), held);
@@ -117,19 +119,19 @@
         return controller;
     }
 
-    private static OrderController ordering(long answeredMillis) {
+    private static OrderController ordering(long responseMillis) {
         OrderController controller = ready();
         controller.onStatus(0, Optional.empty(), 0);
         assertEquals(
-                controller.onFenceTaken(answeredMillis),
-                List.of(new OrderEffect.SendOrder(1, ASKED, 400)));
+                controller.onFenceTaken(responseMillis),
+                List.of(new OrderEffect.SendOrder(1, DESIRED, 400)));
         return controller;
     }
 
     private static void makeReady(OrderController controller, long nowMillis) {
-        controller.tick(Optional.of(ASKED), false, nowMillis);
+        controller.tick(Optional.of(DESIRED), false, nowMillis);
         controller.onState(new EngineReport(Optional.empty(), 0), nowMillis);
         controller.onSlots(true, nowMillis);
-        controller.tick(Optional.of(ASKED), true, nowMillis);
+        controller.tick(Optional.of(DESIRED), true, nowMillis);
     }
 }
