--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/BackendDrain.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/BackendDrain.java
@@ -4,10 +4,10 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Drain of one backend server, as seen by the owner of its ledger.
+ * Drain of one backend server, on the owner of its ledger.
  *
- * <p>Level-triggered: it is told over and over what is wanted and what is left, so an owner that
- * takes over in the middle of a drain comes to the same result. Not thread-safe.
+ * <p>Level-triggered: every update carries the desired state and the remaining work, so an owner
+ * that takes over during a drain reaches the same result. Not thread-safe.
  */
 public final class BackendDrain {
 
@@ -21,7 +21,7 @@
     private Stage mStage = Stage.OPEN;
 
     /**
-     * Creates the drain of a backend server that takes work.
+     * Creates the drain of a backend server that accepts work.
      *
      * @param backend the backend server
      */
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Takes in what is wanted and what is left.
+     * Processes the desired state and the remaining work.
      *
-     * @param leave whether the configuration in force, or a change of role, asks it to take no work
-     * @param grants grants in the owner's ledger
-     * @param attempts attempts that the backend server itself lists as not ended
+     * @param leave whether the configuration in force, or a change of role, requires the drain
+     * @param grants number of grants in the owner's ledger
+     * @param attempts number of attempts that the backend server lists as not ended
      */
     public List<DrainEffect> update(boolean leave, int grants, int attempts) {
         if (!leave) {
@@ -42,11 +42,12 @@
         }
         if (mStage == Stage.OPEN) {
             mStage = Stage.DRAINING;
-            // Grants and attempts are counted from the next update on, when none can be added.
+            // Grants and attempts count only from the next update on, when none can be added any
+            // more.
             return List.of(new DrainEffect.CloseLedger(mBackend));
         }
-        // The ledger alone would miss attempts from before a change of owner, and the backend
-        // server's list alone would miss grants whose work has not arrived yet.
+        // The ledger alone misses attempts from before a change of owner, and the backend server's
+        // list alone misses grants whose work has not arrived yet.
         if (mStage == Stage.DRAINING && grants == 0 && attempts == 0) {
             mStage = Stage.DRAINED;
             return List.of(new DrainEffect.Drained(mBackend));
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
@@ -2,25 +2,25 @@
 
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** What the owner of a ledger has to do on behalf of {@link BackendDrain}. */
+/** Actions that the owner of a ledger performs on behalf of {@link BackendDrain}. */
 public sealed interface DrainEffect {
 
     /**
-     * Give no new grants, and withdraw promises of room that no work has begun to use.
+     * Stop granting reservations, and withdraw reservations whose work has not started.
      *
      * @param backend the backend server
      */
     record CloseLedger(BackendId backend) implements DrainEffect {}
 
     /**
-     * Nothing runs on the backend server any more; it may be changed or switched off.
+     * The backend server is idle; it may be changed or shut down.
      *
      * @param backend the backend server
      */
     record Drained(BackendId backend) implements DrainEffect {}
 
     /**
-     * Give grants again.
+     * Resume granting reservations.
      *
      * @param backend the backend server
      */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopEffect.java
@@ -1,12 +1,12 @@
 package org.cyclamenpaddle.fleet.drain;
 
-/** What the process has to do on behalf of {@link StopSequence}. */
+/** Actions that the process performs on behalf of {@link StopSequence}. */
 public sealed interface StopEffect {
 
     /**
-     * Act by a stage from now on.
+     * Enter a stage.
      *
-     * <p>On {@link StopStage#HANDING_OVER} leave the membership and send the ledgers away; on
+     * <p>On {@link StopStage#HANDING_OVER} leave the membership and hand over the ledgers; on
      * {@link StopStage#STOPPED} exit.
      *
      * @param stage the stage entered
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopSequence.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopSequence.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Planned stop of an entry host, which cuts off no request in flight.
+ * Planned stop of an entry host, which lets requests in flight complete.
  *
- * <p>Not thread-safe. Every event returns the effects to carry out, in order.
+ * <p>Not thread-safe. Every event returns the effects to perform, in order.
  */
 public final class StopSequence {
 
@@ -14,7 +14,7 @@
     private long mEnteredMillis;
 
     /**
-     * Creates the sequence of a host in full service.
+     * Creates the stop sequence of a running host.
      *
      * @param settings timings
      */
@@ -23,39 +23,41 @@
     }
 
     /**
-     * Starts the stop; a further signal changes nothing.
+     * Starts the planned stop; repeated signals have no effect.
      *
      * @param nowMillis reading of this host's clock
      */
     public List<StopEffect> onSignal(long nowMillis) {
-        // Service managers and people send the signal again when a stop takes long. Taking that
-        // for haste would cut off the very requests that it takes long for.
+        // Service managers and operators repeat the signal when a stop takes long. Treating that as
+        // a forced stop would abort the requests that the stop is waiting for.
         return mStage == StopStage.RUNNING ? enter(StopStage.NOT_READY, nowMillis) : List.of();
     }
 
     /**
-     * Goes on if the present stage is done.
+     * Advances to the next stage if the current one is complete.
      *
-     * @param inFlight requests, calls and cancels not yet ended on this host
+     * @param inFlight number of requests, calls and cancellations in flight on this host
      * @param nowMillis reading of this host's clock
      */
     public List<StopEffect> tick(int inFlight, long nowMillis) {
-        long spent = nowMillis - mEnteredMillis;
+        long elapsedMillis = nowMillis - mEnteredMillis;
         return switch (mStage) {
-            case NOT_READY -> when(spent >= mSettings.notReadyMillis(), nowMillis);
-            case DRAINING -> when(inFlight == 0, nowMillis);
+            case NOT_READY -> advanceIf(elapsedMillis >= mSettings.notReadyMillis(), nowMillis);
+            case DRAINING -> advanceIf(inFlight == 0, nowMillis);
             case HANDING_OVER ->
-                    when(inFlight == 0 && spent >= mSettings.handOverMillis(), nowMillis);
+                    advanceIf(
+                            inFlight == 0 && elapsedMillis >= mSettings.handOverMillis(),
+                            nowMillis);
             default -> List.of();
         };
     }
 
-    /** Returns the present stage. */
+    /** Returns the current stage. */
     public StopStage stage() {
         return mStage;
     }
 
-    private List<StopEffect> when(boolean done, long nowMillis) {
+    private List<StopEffect> advanceIf(boolean done, long nowMillis) {
         return done ? enter(StopStage.values()[mStage.ordinal() + 1], nowMillis) : List.of();
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopStage.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopStage.java
@@ -2,13 +2,13 @@
 
 /** Stages of an entry host's planned stop, in order. */
 public enum StopStage {
-    /** In full service. */
+    /** Running normally. */
     RUNNING(true, true, true),
-    /** Tells the balancer to send nothing more, and serves what still comes. */
+    /** Fails the readiness check, but still accepts requests. */
     NOT_READY(false, true, true),
-    /** Refuses new work and waits for the requests in flight. */
+    /** Refuses new requests and waits for those in flight. */
     DRAINING(false, false, true),
-    /** Has left the membership; its ledgers go to other hosts. */
+    /** Has left the membership; its ledgers are handed over to other hosts. */
     HANDING_OVER(false, false, false),
     /** May exit. */
     STOPPED(false, false, false);
@@ -28,12 +28,12 @@
         return mReady;
     }
 
-    /** Returns whether new requests are taken. */
+    /** Returns whether new requests are accepted. */
     public boolean takesWork() {
         return mTakesWork;
     }
 
-    /** Returns whether this host may keep ledgers. */
+    /** Returns whether this host may own ledgers. */
     public boolean ownsLedgers() {
         return mOwnsLedgers;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Planned stops of entry hosts, and drains of backend servers. */
+/** Planned stop of entry hosts, and drain of backend servers. */
 package org.cyclamenpaddle.fleet.drain;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Ownership.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Ownership.java
@@ -9,10 +9,10 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 
 /**
- * Which host keeps the ledger of a backend server, and which hosts watch the platform.
+ * Assigns the ledgers of backend servers and the watches of the platform to hosts.
  *
- * <p>Ownership is soft: hosts whose views differ may name two owners for a moment, which costs
- * efficiency but no safety, as engines refuse work when full.
+ * <p>Ownership is advisory: hosts with different views may temporarily select two owners, which
+ * costs efficiency but not safety, as engines reject work when they are full.
  */
 public final class Ownership {
 
@@ -22,11 +22,12 @@
     private Ownership() {}
 
     /**
-     * Returns the owner of a backend server's ledger; empty if no host lives.
+     * Returns the owner of a backend server's ledger; empty if no host is alive.
      *
      * @param backend the backend server
      * @param domain its failure domain
-     * @param alive hosts that may own; those of other domains stand in if {@code domain} has none
+     * @param alive hosts that may own ledgers; hosts of other domains are used only if {@code
+     *     domain} has none
      */
     public static Optional<HostRecord> owner(
             BackendId backend, FailureDomain domain, Collection<HostRecord> alive) {
@@ -34,11 +35,11 @@
     }
 
     /**
-     * Returns the hosts that hold the watches on configuration for a failure domain.
+     * Returns the hosts of a failure domain that watch the configuration in the platform.
      *
      * @param domain the failure domain
      * @param alive hosts that may watch
-     * @param count how many are wanted; fewer if the domain has fewer hosts
+     * @param count number of hosts wanted; fewer are returned if the domain has fewer hosts
      */
     public static List<HostRecord> watchers(
             FailureDomain domain, Collection<HostRecord> alive, int count) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Rendezvous.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Rendezvous.java
@@ -11,9 +11,9 @@
 /**
  * Rendezvous (highest random weight) hashing of subjects over hosts.
  *
- * <p>Hosts with the same view compute the same choice. When a host joins or leaves, only the
- * subjects that it gains or held move. Weights depend on the host's name alone, so a restart does
- * not move anything.
+ * <p>Hosts with the same view compute the same assignment. When a host joins or leaves, only the
+ * subjects assigned to it move. Weights depend only on the host's name, so a restart moves no
+ * subject.
  */
 public final class Rendezvous {
 
@@ -41,9 +41,9 @@
     /**
      * Returns the {@code count} hosts of greatest weight for {@code subject}, greatest first.
      *
-     * @param subject what is to be placed
+     * @param subject the subject to assign
      * @param candidates hosts to choose from, each at most once
-     * @param count how many to return at most
+     * @param count maximum number of hosts to return
      */
     public static List<HostRecord> top(
             String subject, Collection<HostRecord> candidates, int count) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/package-info.java
@@ -1,2 +1,2 @@
-/** Rendezvous hashing: which hosts own ledgers, watch the platform and stand in for others. */
+/** Rendezvous hashing, which assigns ledgers and platform watches to hosts. */
 package org.cyclamenpaddle.fleet.ownership;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/AttemptReconciler.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/AttemptReconciler.java
@@ -14,18 +14,19 @@
 import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 
 /**
- * Decides which attempts on one engine are to be cancelled because nobody stands for them.
+ * Detects orphaned attempts on one engine and cancels them.
  *
- * <p>The owner of the engine's ledger cancels attempts of hosts whose life has ended: confirmed
- * dead, or superseded by a later incarnation. Attempts of a host that is only suspected or leaving
- * are left alone, so a wrong suspicion costs no stream. Each host, owner or not, cancels those of
- * its own attempts that it no longer stands for.
+ * <p>The owner of the engine's ledger cancels attempts of ended incarnations, which are confirmed
+ * dead or superseded by a later incarnation. Attempts of a host that is only suspected or leaving
+ * are not cancelled, so a false suspicion aborts no stream. Each host, owner or not, cancels those
+ * of its own attempts that it no longer tracks.
  *
- * <p>Time until the memory of a killed host's attempts is free: at most 1,550 ms and two hops until
- * every host has the death confirmed (see {@code MembershipSettings}), and two round trips to the
- * engine, as the owner lists its attempts as soon as it learns of the death. If the host lives and
- * only lost the attempt, it sees it at the next listing, waits out the grace of 500 ms and cancels
- * at a later one: with a listing every 500 ms at most 1,000 ms. Both stay below 2,000 ms.
+ * <p>The memory of a killed host's attempts is freed after at most 1,550 ms and two hops until
+ * every host has confirmed the death (see {@code MembershipSettings}), and two round trips to the
+ * engine, as the owner lists its attempts as soon as it learns of the death. If the host is alive
+ * and only lost track of the attempt, it detects it in the next listing, waits for the grace period
+ * of 500 ms and cancels it at a later listing: with a listing every 500 ms, within 1,000 ms. Both
+ * stay below 2,000 ms.
  *
  * <p>Not thread-safe.
  */
@@ -33,13 +34,13 @@
 
     private final Incarnation mSelf;
     private final RecoverySettings mSettings;
-    private final Map<AttemptId, Long> mDoubtedSince = new HashMap<>();
+    private final Map<AttemptId, Long> mOrphanedSinceMillis = new HashMap<>();
 
     /**
      * Creates the reconciler of one engine.
      *
      * @param self this host
-     * @param settings graces
+     * @param settings grace periods
      */
     public AttemptReconciler(Incarnation self, RecoverySettings settings) {
         mSelf = self;
@@ -47,81 +48,82 @@
     }
 
     /**
-     * Compares what the engine runs with who stands for it.
+     * Compares the attempts on the engine with the hosts that started them.
      *
-     * @param listed what the engine lists
+     * @param listed attempts that the engine lists
      * @param owner whether this host owns the engine's ledger
-     * @param ownAttempts attempts that this host stands for
-     * @param standing what is known of an incarnation
-     * @param nowMillis reading of this host's clock, taken before the list was asked for
+     * @param ownAttempts attempts that this host tracks
+     * @param status status of an incarnation
+     * @param nowMillis reading of this host's clock, taken before the list was requested
      */
     public List<RecoveryEffect> reconcile(
             List<EngineAttempt> listed,
             boolean owner,
             Set<AttemptId> ownAttempts,
-            Function<Incarnation, IncarnationStatus> standing,
+            Function<Incarnation, IncarnationStatus> status,
             long nowMillis) {
         List<RecoveryEffect> effects = new ArrayList<>();
-        Map<AttemptId, Long> doubted = new HashMap<>();
+        Map<AttemptId, Long> orphaned = new HashMap<>();
         listed.stream()
                 .filter(EngineAttempt::holdsResources)
                 .map(EngineAttempt::attempt)
-                .filter(attempt -> owner || isOwn(attempt))
+                .filter(attempt -> owner || startedHere(attempt))
                 .forEach(
                         attempt -> {
-                            Optional<Long> grace = grace(attempt, ownAttempts, standing);
-                            if (grace.isEmpty()) {
+                            Optional<Long> graceMillis = graceMillis(attempt, ownAttempts, status);
+                            if (graceMillis.isEmpty()) {
                                 return;
                             }
-                            long since = mDoubtedSince.getOrDefault(attempt, nowMillis);
-                            doubted.put(attempt, since);
-                            if (nowMillis - since >= grace.get()) {
+                            long sinceMillis =
+                                    mOrphanedSinceMillis.getOrDefault(attempt, nowMillis);
+                            orphaned.put(attempt, sinceMillis);
+                            if (nowMillis - sinceMillis >= graceMillis.get()) {
                                 effects.add(new RecoveryEffect.Cancel(attempt));
                             }
                         });
-        mDoubtedSince.clear();
-        mDoubtedSince.putAll(doubted);
+        mOrphanedSinceMillis.clear();
+        mOrphanedSinceMillis.putAll(orphaned);
         return effects;
     }
 
     /**
-     * Returns the grants of a ledger whose host's life has ended.
+     * Releases the grants of ended incarnations.
      *
-     * @param registered attempts for which the ledger keeps room
-     * @param standing what is known of an incarnation
+     * @param registered attempts that have reservations in the ledger
+     * @param status status of an incarnation
      */
     public List<RecoveryEffect> releaseGrants(
-            Collection<AttemptId> registered, Function<Incarnation, IncarnationStatus> standing) {
+            Collection<AttemptId> registered, Function<Incarnation, IncarnationStatus> status) {
         return registered.stream()
-                .filter(attempt -> standing(attempt, standing) == IncarnationStatus.ENDED)
+                .filter(attempt -> holderStatus(attempt, status) == IncarnationStatus.ENDED)
                 .sorted()
                 .map(RecoveryEffect.ReleaseGrant::new)
                 .collect(Collectors.toList());
     }
 
-    /** Returns how long an attempt may still run; empty if somebody stands for it. */
-    private Optional<Long> grace(
+    /** Returns the grace period of an orphaned attempt; empty if the attempt is not orphaned. */
+    private Optional<Long> graceMillis(
             AttemptId attempt,
             Set<AttemptId> ownAttempts,
-            Function<Incarnation, IncarnationStatus> standing) {
-        if (isOwn(attempt)) {
+            Function<Incarnation, IncarnationStatus> status) {
+        if (startedHere(attempt)) {
             return ownAttempts.contains(attempt)
                     ? Optional.empty()
                     : Optional.of(mSettings.orphanGraceMillis());
         }
-        return switch (standing(attempt, standing)) {
+        return switch (holderStatus(attempt, status)) {
             case RUNNING -> Optional.empty();
             case ENDED -> Optional.of(0L);
             case UNKNOWN -> Optional.of(mSettings.unknownHostGraceMillis());
         };
     }
 
-    private boolean isOwn(AttemptId attempt) {
+    private boolean startedHere(AttemptId attempt) {
         return attempt.holder().filter(mSelf::equals).isPresent();
     }
 
-    private static IncarnationStatus standing(
-            AttemptId attempt, Function<Incarnation, IncarnationStatus> standing) {
-        return attempt.holder().map(standing).orElse(IncarnationStatus.UNKNOWN);
+    private static IncarnationStatus holderStatus(
+            AttemptId attempt, Function<Incarnation, IncarnationStatus> status) {
+        return attempt.holder().map(status).orElse(IncarnationStatus.UNKNOWN);
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
@@ -3,22 +3,26 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * One attempt as an engine lists it.
+ * An attempt listed by an engine.
  *
- * @param attempt its id, which names the incarnation that stands for it
- * @param pieces memory pieces that it holds
- * @param ended whether it ended by itself
+ * @param attempt its identifier, which contains the incarnation that started it
+ * @param pieces memory pieces that it occupies
+ * @param ended whether it has ended
  */
 public record EngineAttempt(AttemptId attempt, int pieces, boolean ended) {
 
     public EngineAttempt {
         if (attempt == null || pieces < 0) {
             throw new IllegalArgumentException(
-                    "attempt " + attempt + " with " + pieces + " pieces is malformed");
+                    "attempt needs an identifier and at least 0 pieces: attempt "
+                            + attempt
+                            + " with "
+                            + pieces
+                            + " pieces");
         }
     }
 
-    /** Returns whether it still costs the engine anything. */
+    /** Returns whether it still occupies resources of the engine. */
     public boolean holdsResources() {
         return !ended || pieces > 0;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/RecoveryEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/RecoveryEffect.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.core.id.AttemptId;
 
-/** What the process has to do on behalf of an {@link AttemptReconciler}. */
+/** Actions that the process performs on behalf of an {@link AttemptReconciler}. */
 public sealed interface RecoveryEffect {
 
     /**
@@ -13,7 +13,7 @@
     record Cancel(AttemptId attempt) implements RecoveryEffect {}
 
     /**
-     * Free the room that the ledger keeps for an attempt.
+     * Release the reservation of an attempt in the ledger.
      *
      * @param attempt the attempt
      */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/package-info.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/package-info.java
@@ -1,2 +1,2 @@
-/** Recovery of engine memory: which attempts on an engine no live host stands for. */
+/** Recovery of engine memory from orphaned attempts. */
 package org.cyclamenpaddle.fleet.recovery;
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/drain/StopSequenceTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/drain/StopSequenceTest.java
@@ -13,9 +13,9 @@
     private static final BackendId BACKEND = new BackendId("engine-1");
 
     @Test
-    public void secondSignalCutsOffNothing() {
-        // An operator stops a host, a long stream keeps it up, and the operator signals again. The
-        // stream's caller must still get its whole answer.
+    public void repeatedSignalAbortsNoRequest() {
+        // An operator stops a host, a long stream delays the stop, and the operator repeats the
+        // signal. The stream must still complete.
         StopSequence stop = new StopSequence(new StopSettings(100, 50));
         stop.onSignal(0);
         assertTrue(stop.stage().takesWork() && !stop.stage().ready());
@@ -33,8 +33,8 @@
 
     @Test
     public void backendIsDrainedOnlyWithoutGrantsAndAttempts() {
-        // The owner is new: its ledger is empty, but the engine still runs an attempt granted by
-        // the former owner. Changing the engine's role now would cut that stream off.
+        // A new owner's ledger is empty, but the engine still runs an attempt granted by the former
+        // owner. Changing the engine's role now would abort that stream.
         BackendDrain drain = new BackendDrain(BACKEND);
 
         assertEquals(drain.update(true, 0, 1), List.of(new DrainEffect.CloseLedger(BACKEND)));
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/ownership/OwnershipTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/ownership/OwnershipTest.java
@@ -19,11 +19,11 @@
 public class OwnershipTest {
 
     private static final FailureDomain HOME = new FailureDomain("ahm");
-    private static final FailureDomain AWAY = new FailureDomain("mhs");
+    private static final FailureDomain OTHER_DOMAIN = new FailureDomain("mhs");
     private static final int BACKENDS = 1_000;
 
     @Test
-    public void onlyLedgersOfALostHostMove() {
+    public void onlyLedgersOfTheLostHostMove() {
         List<HostRecord> all = hosts(HOME, 10);
         HostRecord lost = all.get(3);
         List<HostRecord> rest = new ArrayList<>(all);
@@ -39,13 +39,13 @@
     }
 
     @Test
-    public void hostsOfAnotherDomainStandIn() {
-        List<HostRecord> away = hosts(AWAY, 3);
-        List<HostRecord> all = new ArrayList<>(away);
+    public void hostsOfAnotherDomainAreUsedAsFallback() {
+        List<HostRecord> remote = hosts(OTHER_DOMAIN, 3);
+        List<HostRecord> all = new ArrayList<>(remote);
         all.addAll(hosts(HOME, 1));
 
         assertEquals(owner(new BackendId("engine"), all).domain(), HOME);
-        assertEquals(owner(new BackendId("engine"), away).domain(), AWAY);
+        assertEquals(owner(new BackendId("engine"), remote).domain(), OTHER_DOMAIN);
         assertEquals(Ownership.owner(new BackendId("engine"), HOME, List.of()), Optional.empty());
     }
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/recovery/AttemptReconcilerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/recovery/AttemptReconcilerTest.java
@@ -20,9 +20,10 @@
             new AttemptReconciler(SELF, RecoverySettings.DEFAULTS);
 
     @Test
-    public void cancelsForAnEndedLifeAtOnceAndForASuspectNever() {
+    public void cancelsAttemptsOfEndedIncarnationsButNotOfSuspects() {
         // An entry host goes silent, and its callers may still be streaming through it. While it is
-        // only suspected its attempts go on; once its life has ended the owner frees the engine.
+        // only suspected its attempts continue; once its incarnation has ended the owner cancels
+        // them.
         assertEquals(reconcile(OTHER, true, IncarnationStatus.RUNNING, 60_000), List.of());
         assertEquals(
                 reconcile(OTHER, true, IncarnationStatus.ENDED, 60_001),
@@ -31,7 +32,7 @@
     }
 
     @Test
-    public void givesAHostNeverHeardOfTime() {
+    public void cancelsAttemptsOfUnknownHostsAfterAGracePeriod() {
         assertEquals(reconcile(OTHER, true, IncarnationStatus.UNKNOWN, 0), List.of());
         assertEquals(reconcile(OTHER, true, IncarnationStatus.UNKNOWN, 9_999), List.of());
         assertEquals(
@@ -40,14 +41,18 @@
     }
 
     @Test
-    public void cancelsItsOwnLostAttemptAfterAGrace() {
-        // The engine's list was read just before this host began to stand for the attempt.
-        // Cancelling at once would break the caller's stream; the doubt starts afresh each time
-        // the attempt is seen to be stood for.
+    public void cancelsOwnOrphanedAttemptAfterAGracePeriod() {
+        // The engine's list was read just before this host began to track the attempt. Cancelling
+        // immediately would break the caller's stream; the grace period restarts each time the
+        // attempt is found to be tracked.
         assertEquals(reconcile(OWN, false, IncarnationStatus.RUNNING, 0), List.of());
         assertEquals(
                 mReconciler.reconcile(
-                        list(OWN), false, Set.of(OWN), life -> IncarnationStatus.RUNNING, 400),
+                        list(OWN),
+                        false,
+                        Set.of(OWN),
+                        incarnation -> IncarnationStatus.RUNNING,
+                        400),
                 List.of());
         assertEquals(reconcile(OWN, false, IncarnationStatus.RUNNING, 600), List.of());
         assertEquals(
@@ -56,20 +61,21 @@
     }
 
     @Test
-    public void freesGrantsOfEndedLives() {
+    public void releasesGrantsOfEndedIncarnations() {
         assertEquals(
                 mReconciler.releaseGrants(
                         Set.of(OWN, OTHER),
-                        life ->
-                                life.equals(SELF)
+                        incarnation ->
+                                incarnation.equals(SELF)
                                         ? IncarnationStatus.RUNNING
                                         : IncarnationStatus.ENDED),
                 List.of(new RecoveryEffect.ReleaseGrant(OTHER)));
     }
 
     private List<RecoveryEffect> reconcile(
-            AttemptId attempt, boolean owner, IncarnationStatus standing, long nowMillis) {
-        return mReconciler.reconcile(list(attempt), owner, Set.of(), life -> standing, nowMillis);
+            AttemptId attempt, boolean owner, IncarnationStatus status, long nowMillis) {
+        return mReconciler.reconcile(
+                list(attempt), owner, Set.of(), incarnation -> status, nowMillis);
     }
 
     private static List<EngineAttempt> list(AttemptId attempt) {
