--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
@@ -26,38 +26,38 @@
 import org.cyclamenpaddle.fleet.claim.ClaimShardEffect;
 import org.cyclamenpaddle.fleet.claim.ClaimState;
 
-/** One life of an entry host that takes bookings, in a {@link BookingRun}. */
+/** One incarnation of an entry host that accepts bookings, in a {@link BookingRun}. */
 final class BookingHost {
 
     static final long DEADLINE_MILLIS = 1_500;
     static final long RESEND_MILLIS = 25_000;
-    private static final long CLAIMER_GRACE_MILLIS = 300;
+    private static final long HOLDER_TIMEOUT_MILLIS = 300;
     static final ClaimCodec CODEC = new ClaimLines();
 
     final int mIndex;
-    final Incarnation mLife;
+    final Incarnation mIncarnation;
     boolean mUp = true;
-    long mPausedUntil;
+    long mPausedUntilMillis;
     private final BookingRun mRun;
     private final Map<Integer, Incarnation> mKnown = new HashMap<>();
     private final Map<Integer, ClaimShard> mShards = new HashMap<>();
     private final BookingTable mTable = new BookingTable(100_000, RESEND_MILLIS);
     private final Map<AttemptId, BiConsumer<AttemptId, BookingReply>> mCallers = new HashMap<>();
     private long mAttempts;
-    private long mLostAt = Long.MIN_VALUE / 2;
+    private long mHostLostMillis = Long.MIN_VALUE / 2;
 
-    BookingHost(BookingRun run, int index, long life) {
+    BookingHost(BookingRun run, int index, long incarnation) {
         mRun = run;
         mIndex = index;
-        mLife = new Incarnation(new HostId("host-" + index), life);
-        run.mHosts.forEach(host -> mKnown.put(host.mIndex, host.mLife));
+        mIncarnation = new Incarnation(new HostId("host-" + index), incarnation);
+        run.mHosts.forEach(host -> mKnown.put(host.mIndex, host.mIncarnation));
         run.mQueue.every(100, () -> handle(this::tickShards));
     }
 
-    /** Runs an event of this process, after its pause if there is one. */
+    /** Runs an event of this process, after its current pause if there is one. */
     void handle(Runnable event) {
-        if (mUp && mPausedUntil > mRun.mQueue.now()) {
-            mRun.mQueue.after(mPausedUntil - mRun.mQueue.now(), () -> handle(event));
+        if (mUp && mPausedUntilMillis > mRun.mQueue.now()) {
+            mRun.mQueue.after(mPausedUntilMillis - mRun.mQueue.now(), () -> handle(event));
         } else if (mUp) {
             event.run();
         }
@@ -65,7 +65,7 @@
 
     void book(ClaimKey key, String fingerprint, BiConsumer<AttemptId, BookingReply> caller) {
         mAttempts++;
-        AttemptId attempt = AttemptId.of(mLife, mAttempts);
+        AttemptId attempt = AttemptId.of(mIncarnation, mAttempts);
         long now = mRun.mQueue.now();
         ClaimRecord claim = new ClaimRecord(key, fingerprint, attempt, ClaimState.CLAIMED, now);
         BookingMachine call =
@@ -77,26 +77,27 @@
         feedAfter(DEADLINE_MILLIS + 400, call, new BookingEvent.Timeout());
     }
 
-    /** Takes note of which hosts live, as membership would. */
+    /** Updates the incarnations of the live hosts, as membership would. */
     void observe() {
         for (BookingHost host : mRun.mHosts) {
-            if (!host.mLife.equals(mKnown.put(host.mIndex, host.mLife)) || !host.mUp) {
-                mLostAt = mRun.mQueue.now();
+            if (!host.mIncarnation.equals(mKnown.put(host.mIndex, host.mIncarnation))
+                    || !host.mUp) {
+                mHostLostMillis = mRun.mQueue.now();
             }
         }
     }
 
-    private boolean lostLately() {
+    private boolean hostLost() {
         observe();
-        return mRun.mQueue.now() - mLostAt < RESEND_MILLIS;
+        return mRun.mQueue.now() - mHostLostMillis < RESEND_MILLIS;
     }
 
-    private boolean answers() {
-        return mUp && mPausedUntil <= mRun.mQueue.now();
+    private boolean responds() {
+        return mUp && mPausedUntilMillis <= mRun.mQueue.now();
     }
 
-    private ClaimResponse answer(ClaimKey key, Optional<AttemptId> asking) {
-        return mTable.claimResponse(key, asking, lostLately(), mRun.mQueue.now());
+    private ClaimResponse claimResponse(ClaimKey key, Optional<AttemptId> querying) {
+        return mTable.claimResponse(key, querying, hostLost(), mRun.mQueue.now());
     }
 
     private void feed(BookingMachine call, BookingEvent event) {
@@ -116,14 +117,14 @@
             } else if (effect instanceof BookingEffect.Dispatch dispatch) {
                 dispatch(call);
             } else if (effect instanceof BookingEffect.SendCall) {
-                // A pause between the decision and its effect must not matter either.
+                // A pause may also occur between the decision and its effect.
                 handle(() -> mRun.send(call.claim(), event -> feed(call, event)));
             } else if (effect instanceof BookingEffect.Abort) {
                 feedAfter(1, call, new BookingEvent.ConnectFailedBeforeFirstByte());
-            } else if (effect instanceof BookingEffect.QueryClaimHolder ask) {
-                askClaimer(call, ask.holder());
+            } else if (effect instanceof BookingEffect.QueryClaimHolder query) {
+                queryClaimHolder(call, query.holder());
             } else if (effect instanceof BookingEffect.QueryPeers) {
-                askPeers(call);
+                queryPeers(call);
             } else if (effect instanceof BookingEffect.WakeAt wake) {
                 feedAfter(wake.millis() - mRun.mQueue.now(), call, new BookingEvent.Wake());
             } else if (effect instanceof BookingEffect.Reply reply) {
@@ -143,26 +144,28 @@
                         : new BookingEvent.ConnectFailedBeforeFirstByte());
     }
 
-    private void askClaimer(BookingMachine call, Incarnation holder) {
+    private void queryClaimHolder(BookingMachine call, Incarnation holder) {
         Optional<BookingHost> host =
-                mRun.mHosts.stream().filter(h -> h.mLife.equals(holder) && h.answers()).findFirst();
-        Optional<AttemptId> asking = Optional.of(call.claim().attempt());
+                mRun.mHosts.stream()
+                        .filter(h -> h.mIncarnation.equals(holder) && h.responds())
+                        .findFirst();
+        Optional<AttemptId> querying = Optional.of(call.claim().attempt());
         BookingEvent event =
                 host.<BookingEvent>map(
                                 h ->
                                         new BookingEvent.ClaimHolderResponded(
-                                                h.answer(call.claim().key(), asking)))
+                                                h.claimResponse(call.claim().key(), querying)))
                         .orElseGet(BookingEvent.ClaimHolderUnreachable::new);
-        feedAfter(host.isPresent() ? 3 : CLAIMER_GRACE_MILLIS, call, event);
+        feedAfter(host.isPresent() ? 3 : HOLDER_TIMEOUT_MILLIS, call, event);
     }
 
-    private void askPeers(BookingMachine call) {
+    private void queryPeers(BookingMachine call) {
         List<ClaimResponse.State> states = new ArrayList<>();
-        Optional<AttemptId> asking = Optional.of(call.claim().attempt());
-        boolean complete = !lostLately();
+        Optional<AttemptId> querying = Optional.of(call.claim().attempt());
+        boolean complete = !hostLost();
         for (BookingHost host : mRun.mHosts) {
-            if (host.answers()) {
-                states.add(host.answer(call.claim().key(), asking).state());
+            if (host.responds()) {
+                states.add(host.claimResponse(call.claim().key(), querying).state());
             } else {
                 complete = false;
             }
@@ -189,13 +192,13 @@
         for (ClaimShardEffect effect : effects) {
             if (effect instanceof ClaimShardEffect.ReadShard) {
                 mRun.mPlatform.read(
-                        path, answer -> handle(() -> apply(number, onRead(shard, answer))));
+                        path, response -> handle(() -> apply(number, onRead(shard, response))));
             } else if (effect instanceof ClaimShardEffect.WriteShard write) {
                 mRun.mPlatform.put(
                         path,
                         write.baseVersion(),
                         CODEC.encode(write.document()),
-                        answer -> handle(() -> apply(number, onWrite(shard, answer))));
+                        response -> handle(() -> apply(number, onWrite(shard, response))));
             } else if (effect instanceof ClaimShardEffect.Settled settled) {
                 mTable.call(settled.claim().attempt())
                         .ifPresent(call -> feed(call, settled.result().event()));
@@ -203,23 +206,25 @@
         }
     }
 
-    private List<ClaimShardEffect> onRead(ClaimShard shard, FakePlatform.Answer<String> answer) {
-        return answer.result() == FakePlatform.Result.DONE
-                ? shard.onRead(answer.stored().version(), document(answer))
+    private List<ClaimShardEffect> onRead(
+            ClaimShard shard, FakePlatform.Response<String> response) {
+        return response.result() == FakePlatform.Result.DONE
+                ? shard.onRead(response.stored().version(), document(response))
                 : shard.onPlatformUnavailable(mRun.mQueue.now());
     }
 
-    private List<ClaimShardEffect> onWrite(ClaimShard shard, FakePlatform.Answer<String> answer) {
-        return switch (answer.result()) {
-            case DONE -> shard.onWritten(answer.stored().version());
-            case CONFLICT -> shard.onConflict(answer.stored().version(), document(answer));
+    private List<ClaimShardEffect> onWrite(
+            ClaimShard shard, FakePlatform.Response<String> response) {
+        return switch (response.result()) {
+            case DONE -> shard.onWritten(response.stored().version());
+            case CONFLICT -> shard.onConflict(response.stored().version(), document(response));
             case LOST -> shard.onResponseLost();
-            case AWAY -> shard.onPlatformUnavailable(mRun.mQueue.now());
+            case UNAVAILABLE -> shard.onPlatformUnavailable(mRun.mQueue.now());
         };
     }
 
-    private static ClaimDocument document(FakePlatform.Answer<String> answer) {
-        return answer.stored()
+    private static ClaimDocument document(FakePlatform.Response<String> response) {
+        return response.stored()
                 .value()
                 .map(text -> CODEC.decode(text).get())
                 .orElse(ClaimDocument.EMPTY);
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
@@ -26,11 +26,11 @@
 import org.cyclamenpaddle.fleet.claim.ClaimState;
 
 /**
- * Bookings whose callers send again through other hosts, while hosts die and pause and the platform
- * is away, slow, and loses answers before or after a write takes effect.
+ * Simulation of bookings whose callers send again through other hosts, while hosts die and pause
+ * and the platform is unavailable, slow, and loses responses before or after a write takes effect.
  *
- * <p>Invariants: a key runs at most once; when a booking is refused as not run, no byte of it has
- * left, and none of that attempt ever does; an answer is that of the call under the key.
+ * <p>Invariants: a key runs at most once; when a booking is refused as not run, no byte of that
+ * attempt has been sent or ever will be; a response belongs to the call with the key.
  */
 final class BookingRun {
 
@@ -44,12 +44,12 @@
     final ClaimShardSettings mShards;
     final Map<RunOutcome, Integer> mReplies = new EnumMap<>(RunOutcome.class);
     final Map<RefusalReason, Integer> mRefusals = new EnumMap<>(RefusalReason.class);
-    int mRan;
+    int mCallsRun;
     private final Map<ClaimKey, List<String>> mSent = new HashMap<>();
-    private final Map<ClaimKey, Set<String>> mUsed = new HashMap<>();
+    private final Map<ClaimKey, Set<String>> mFingerprints = new HashMap<>();
     private final Map<ClaimKey, Integer> mRuns = new HashMap<>();
     private final Set<AttemptId> mRefused = new HashSet<>();
-    private long mLives = 1;
+    private long mIncarnations = 1;
     private boolean mFaults = true;
 
     BookingRun(int hosts, int shards, long seed) {
@@ -57,12 +57,12 @@
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         mPlatform = new FakePlatform<>(mQueue, mRandom);
         for (int i = 0; i < hosts; i++) {
-            mHosts.add(new BookingHost(this, i, mLives));
+            mHosts.add(new BookingHost(this, i, mIncarnations));
         }
         mQueue.after(3_000, this::fault);
     }
 
-    /** Sends bookings at a steady rate, then lets everything end without faults. */
+    /** Sends bookings at a steady rate, then lets all calls end without faults. */
     void bookings(int keys) {
         for (int i = 0; i < keys; i++) {
             ClaimKey key = new ClaimKey(new ServiceName("spot-book"), "key-" + i);
@@ -70,14 +70,14 @@
             mQueue.runFor(5 + mRandom.nextInt(20));
         }
         mFaults = false;
-        mPlatform.mAway = false;
-        mPlatform.mLoss = 0;
+        mPlatform.mUnavailable = false;
+        mPlatform.mLossRate = 0;
         mQueue.runFor(60_000);
-        requireSettled();
+        requireNoOpenClaim();
     }
 
-    /** Requires that no key is left claimed by a host that lives and has ended the call. */
-    private void requireSettled() {
+    /** Asserts that no key remains claimed by a live host after the end of its call. */
+    private void requireNoOpenClaim() {
         mPlatform.objects().stream()
                 .flatMap(
                         o ->
@@ -91,11 +91,16 @@
                 .filter(
                         c ->
                                 mHosts.stream()
-                                        .anyMatch(h -> c.attempt().holder().get().equals(h.mLife)))
-                .forEach(claim -> require(false, () -> claim + " was never settled"));
+                                        .anyMatch(
+                                                h ->
+                                                        c.attempt()
+                                                                .holder()
+                                                                .get()
+                                                                .equals(h.mIncarnation)))
+                .forEach(claim -> require(false, () -> claim + " was never completed"));
     }
 
-    /** Sends bookings without faults and returns the platform's calls for each. */
+    /** Sends bookings without faults and returns the number of platform calls per booking. */
     double callsPerBooking(int keys, int perSecond) {
         mFaults = false;
         long before = mPlatform.mCalls;
@@ -107,30 +112,30 @@
         return (double) (mPlatform.mCalls - before) / keys;
     }
 
-    /** Has a call written to a backend server. */
+    /** Sends a call to a backend server. */
     void send(ClaimRecord claim, Consumer<BookingEvent> report) {
         require(!mRefused.contains(claim.attempt()), () -> claim + " sent after not run");
         mSent.computeIfAbsent(claim.key(), key -> new ArrayList<>()).add(claim.fingerprint());
-        int fate = mRandom.nextInt(100);
-        boolean arrives = fate >= 3;
-        boolean answered = fate >= 8;
+        int outcome = mRandom.nextInt(100);
+        boolean arrives = outcome >= 3;
+        boolean responded = outcome >= 8;
         if (arrives) {
             mQueue.after(1 + mRandom.nextInt(40), () -> run(claim));
         }
         BookingEvent end =
-                answered
-                        ? new BookingEvent.ResponseComplete(answer(claim.key()))
+                responded
+                        ? new BookingEvent.ResponseComplete(response(claim.key()))
                         : new BookingEvent.FailedAfterFirstByte();
-        mQueue.after(41 + mRandom.nextInt(fate == 99 ? 3_000 : 20), () -> report.accept(end));
+        mQueue.after(41 + mRandom.nextInt(outcome == 99 ? 3_000 : 20), () -> report.accept(end));
     }
 
     private void run(ClaimRecord claim) {
-        mRan++;
+        mCallsRun++;
         int runs = mRuns.merge(claim.key(), 1, Integer::sum);
         require(runs == 1, () -> claim.key() + " ran " + runs + " times");
     }
 
-    private static StoredResponse answer(ClaimKey key) {
+    private static StoredResponse response(ClaimKey key) {
         return new StoredResponse(200, "text/plain", "booked " + key.key());
     }
 
@@ -138,7 +143,7 @@
         BookingHost host = mHosts.get(mRandom.nextInt(mHosts.size()));
         boolean[] replied = {false};
         String fingerprint = mRandom.nextInt(50) == 0 ? OTHER_REQUEST : REQUEST;
-        mUsed.computeIfAbsent(key, k -> new HashSet<>()).add(fingerprint);
+        mFingerprints.computeIfAbsent(key, k -> new HashSet<>()).add(fingerprint);
         host.handle(
                 () ->
                         host.book(
@@ -155,31 +160,31 @@
                 3_000,
                 () -> {
                     if (!replied[0]) {
-                        again(key, sends);
+                        resend(key, sends);
                     }
                 });
     }
 
     private void replied(ClaimKey key, int sends, String fingerprint, BookingReply reply) {
         mReplies.merge(reply.outcome(), 1, Integer::sum);
-        if (reply instanceof BookingReply.Completed answered) {
+        if (reply instanceof BookingReply.Completed completed) {
             require(
-                    answered.response().equals(answer(key))
+                    completed.response().equals(response(key))
                             && mSent.get(key).equals(List.of(fingerprint)),
-                    () -> key + " was answered " + answered);
+                    () -> key + " was completed with " + completed);
             return;
         }
         RefusalReason reason = ((BookingReply.Refused) reply).refusal().reason();
         mRefusals.merge(reason, 1, Integer::sum);
         if (reason == RefusalReason.KEY_REUSED) {
-            require(mUsed.get(key).size() > 1, () -> key + " refused as reused");
+            require(mFingerprints.get(key).size() > 1, () -> key + " refused as reused");
         } else if (reply.outcome() == RunOutcome.NOT_RUN) {
-            require(!mSent.containsKey(key), () -> key + " called not run by " + reason);
+            require(!mSent.containsKey(key), () -> key + " reported as not run by " + reason);
         }
-        again(key, sends);
+        resend(key, sends);
     }
 
-    private void again(ClaimKey key, int sends) {
+    private void resend(ClaimKey key, int sends) {
         if (sends > 1) {
             mQueue.after(mRandom.nextInt(1_000), () -> send(key, sends - 1));
         }
@@ -189,23 +194,24 @@
         if (!mFaults) {
             return;
         }
-        mPlatform.mLoss = mRandom.nextInt(3) == 0 ? 0 : 0.15;
-        mPlatform.mAway = mRandom.nextInt(4) == 0;
+        mPlatform.mLossRate = mRandom.nextInt(3) == 0 ? 0 : 0.15;
+        mPlatform.mUnavailable = mRandom.nextInt(4) == 0;
         BookingHost victim = mHosts.get(mRandom.nextInt(mHosts.size()));
         switch (mRandom.nextInt(4)) {
             case 0 -> {
                 victim.mUp = false;
-                mLives++;
-                long life = mLives;
+                mIncarnations++;
+                long incarnation = mIncarnations;
                 mQueue.after(
                         mRandom.nextInt(2_000),
                         () ->
                                 mHosts.set(
-                                        victim.mIndex, new BookingHost(this, victim.mIndex, life)));
+                                        victim.mIndex,
+                                        new BookingHost(this, victim.mIndex, incarnation)));
             }
-            case 1 -> victim.mPausedUntil = mQueue.now() + mRandom.nextInt(8_000);
+            case 1 -> victim.mPausedUntilMillis = mQueue.now() + mRandom.nextInt(8_000);
             default -> {
-                // The platform alone fails.
+                // Only the platform fails.
             }
         }
         mQueue.after(2_000 + mRandom.nextInt(8_000), this::fault);
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRunTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRunTest.java
@@ -15,7 +15,8 @@
     }
 
     /**
-     * Callers send lost bookings again elsewhere; none may run twice or be called not run wrongly.
+     * Callers resend lost bookings through other hosts; no booking may run twice or be falsely
+     * reported as not run.
      */
     @Test(dataProvider = "seeds")
     public void runsEachKeyAtMostOnce(long seed, int keys) {
@@ -23,9 +24,13 @@
 
         run.bookings(RunOptions.length(keys));
 
-        Reporter.log(run.mReplies + " " + run.mRefusals + " ran " + run.mRan, true);
-        assertTrue(run.mRan > keys / 2, "too few ran: " + run.mRan);
-        assertTrue(run.mRefusals.containsKey(RefusalReason.PLATFORM_AWAY), "no outage was met");
-        assertTrue(run.mRefusals.containsKey(RefusalReason.CLAIM_UNREADABLE), "nothing was lost");
+        Reporter.log(run.mReplies + " " + run.mRefusals + " ran " + run.mCallsRun, true);
+        assertTrue(run.mCallsRun > keys / 2, "too few ran: " + run.mCallsRun);
+        assertTrue(
+                run.mRefusals.containsKey(RefusalReason.PLATFORM_AWAY),
+                "no platform outage occurred");
+        assertTrue(
+                run.mRefusals.containsKey(RefusalReason.CLAIM_UNREADABLE),
+                "no host's records were lost");
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
@@ -21,27 +21,27 @@
 import org.cyclamenpaddle.fleet.simulation.FakePlatform.Stored;
 
 /**
- * Replicas of several domains, while operators write and delete, domains are cut off from each
- * other and from the platform, answers are lost or late, watches are compacted and hosts start
- * empty.
+ * Simulation of replicas in several domains, while operators write and delete objects, domains are
+ * partitioned from each other and from the platform, responses are lost or late, watches are
+ * compacted and hosts start with empty replicas.
  *
- * <p>Invariants: on no host does the version of an object ever go back; once everything is
- * reachable all replicas equal the platform, and a further change is everywhere within 7 s.
+ * <p>Invariants: the version of an object never decreases on any host; once everything is reachable
+ * all replicas equal the platform, and a further change reaches every replica within 7 s.
  */
 final class ConfigurationRun {
 
     private static final int DOMAINS = 3;
     private static final int HOSTS = 9;
     private static final int KEYS = 8;
-    private static final long BOUND_MILLIS = 7_000;
+    private static final long CONVERGENCE_MILLIS = 7_000;
 
     private final EventQueue mQueue = new EventQueue();
     private final UniformRandomProvider mRandom;
     private final FakePlatform<String> mPlatform;
     private final List<Replica> mReplicas = new ArrayList<>();
-    private final boolean[] mCutFromPlatform = new boolean[DOMAINS];
-    private final boolean[] mCutFromPeers = new boolean[DOMAINS];
-    private double mLoss;
+    private final boolean[] mPartitionedFromPlatform = new boolean[DOMAINS];
+    private final boolean[] mPartitionedFromPeers = new boolean[DOMAINS];
+    private double mLossRate;
     private long mCompacted;
     private long mWrites;
 
@@ -52,7 +52,7 @@
             mReplicas.add(new Replica(i));
         }
         mQueue.every(100, () -> mReplicas.forEach(Replica::tick));
-        mQueue.every(500, () -> mReplicas.forEach(Replica::tellDigest));
+        mQueue.every(500, () -> mReplicas.forEach(Replica::sendDigest));
     }
 
     void steps(int steps) {
@@ -61,19 +61,19 @@
             step(mRandom.nextInt(20));
         }
         heal();
-        mQueue.runFor(BOUND_MILLIS);
+        mQueue.runFor(CONVERGENCE_MILLIS);
         requireEqual();
         write();
-        mQueue.runFor(BOUND_MILLIS);
+        mQueue.runFor(CONVERGENCE_MILLIS);
         requireEqual();
     }
 
     private void step(int choice) {
         switch (choice) {
-            case 0 -> mCutFromPlatform[mRandom.nextInt(DOMAINS)] ^= true;
-            case 1 -> mCutFromPeers[mRandom.nextInt(DOMAINS)] ^= true;
-            case 2 -> mPlatform.mAway = !mPlatform.mAway;
-            case 3 -> mLoss = mRandom.nextDouble() / 2;
+            case 0 -> mPartitionedFromPlatform[mRandom.nextInt(DOMAINS)] ^= true;
+            case 1 -> mPartitionedFromPeers[mRandom.nextInt(DOMAINS)] ^= true;
+            case 2 -> mPlatform.mUnavailable = !mPlatform.mUnavailable;
+            case 3 -> mLossRate = mRandom.nextDouble() / 2;
             case 4 -> mCompacted = mPlatform.revision();
             case 5 -> {
                 int index = mRandom.nextInt(HOSTS);
@@ -86,11 +86,11 @@
 
     private void heal() {
         for (int i = 0; i < DOMAINS; i++) {
-            mCutFromPlatform[i] = false;
-            mCutFromPeers[i] = false;
+            mPartitionedFromPlatform[i] = false;
+            mPartitionedFromPeers[i] = false;
         }
-        mPlatform.mAway = false;
-        mLoss = 0;
+        mPlatform.mUnavailable = false;
+        mLossRate = 0;
     }
 
     private void write() {
@@ -120,7 +120,7 @@
             require(live.equals(wanted), () -> replica.mSelf + ": " + live + " not " + wanted);
             require(
                     replica.mReplica.digest() == mReplicas.get(0).mReplica.digest(),
-                    () -> replica.mSelf + " has another digest");
+                    () -> replica.mSelf + " has a different digest");
         }
     }
 
@@ -135,7 +135,7 @@
         private final HostRecord mSelf;
         private final ConfigurationReplica mReplica = new ConfigurationReplica();
         private final ConfigurationSync mSync;
-        private Map<String, Long> mSeen = Map.of();
+        private Map<String, Long> mLastVersions = Map.of();
         private long mWatch;
 
         private Replica(int index) {
@@ -148,7 +148,7 @@
 
         private boolean reaches(Replica other) {
             return mDomain == other.mDomain
-                    || !mCutFromPeers[mDomain] && !mCutFromPeers[other.mDomain];
+                    || !mPartitionedFromPeers[mDomain] && !mPartitionedFromPeers[other.mDomain];
         }
 
         private void tick() {
@@ -160,7 +160,7 @@
             apply(mSync.tick(alive, mQueue.now()));
         }
 
-        private void tellDigest() {
+        private void sendDigest() {
             long digest = mReplica.digest();
             for (Replica other : mReplicas) {
                 if (other != this && reaches(other) && arrives()) {
@@ -174,7 +174,7 @@
         }
 
         private void apply(List<ConfigurationEffect> effects) {
-            requireNoneWentBack();
+            requireMonotonicVersions();
             for (ConfigurationEffect effect : effects) {
                 if (effect instanceof ConfigurationEffect.ListPlatform) {
                     mWatch++;
@@ -184,20 +184,20 @@
                     watch(watch.afterRevision(), mWatch, mQueue.now() + 2_000);
                 } else if (effect instanceof ConfigurationEffect.StopWatch) {
                     mWatch++;
-                } else if (effect instanceof ConfigurationEffect.QueryPeer ask) {
-                    ask(ask);
+                } else if (effect instanceof ConfigurationEffect.QueryPeer query) {
+                    query(query);
                 }
             }
         }
 
-        private void requireNoneWentBack() {
+        private void requireMonotonicVersions() {
             Map<String, Long> known = mReplica.knownVersions();
-            mSeen.forEach(
+            mLastVersions.forEach(
                     (key, version) ->
                             require(
                                     known.getOrDefault(key, 0L) >= version,
-                                    () -> key + " went back from " + version));
-            mSeen = known;
+                                    () -> key + " decreased from version " + version));
+            mLastVersions = known;
         }
 
         private void report(long watch, Runnable report) {
@@ -212,7 +212,7 @@
         }
 
         private void list(long watch) {
-            if (!platformAnswers()) {
+            if (!platformResponds()) {
                 report(watch, () -> apply(mSync.onPlatformFailed(mQueue.now())));
                 return;
             }
@@ -228,7 +228,7 @@
             if (watch != mWatch) {
                 return;
             }
-            if (!platformAnswers()) {
+            if (!platformResponds()) {
                 report(watch, () -> apply(mSync.onPlatformFailed(mQueue.now())));
             } else if (after < mCompacted) {
                 report(watch, () -> apply(mSync.onCompacted()));
@@ -244,27 +244,27 @@
             }
         }
 
-        private boolean platformAnswers() {
-            return !mPlatform.mAway && !mCutFromPlatform[mDomain] && arrives();
+        private boolean platformResponds() {
+            return !mPlatform.mUnavailable && !mPartitionedFromPlatform[mDomain] && arrives();
         }
 
         private boolean arrives() {
-            return mRandom.nextDouble() >= mLoss;
+            return mRandom.nextDouble() >= mLossRate;
         }
 
-        private void ask(ConfigurationEffect.QueryPeer ask) {
+        private void query(ConfigurationEffect.QueryPeer query) {
             Replica peer =
                     mReplicas.stream()
-                            .filter(r -> r.mSelf.equals(ask.peer()))
+                            .filter(r -> r.mSelf.equals(query.peer()))
                             .findFirst()
                             .orElseThrow();
             if (!reaches(peer) || !arrives()) {
                 return;
             }
-            ConfigurationResponse answer =
-                    ((ConfigurationEffect.Respond) peer.mSync.onPeerRequest(ask.request()).get(0))
+            ConfigurationResponse response =
+                    ((ConfigurationEffect.Respond) peer.mSync.onPeerRequest(query.request()).get(0))
                             .response();
-            mQueue.after(1 + mRandom.nextInt(800), () -> apply(mSync.onPeerResponse(answer)));
+            mQueue.after(1 + mRandom.nextInt(800), () -> apply(mSync.onPeerResponse(response)));
         }
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRunTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRunTest.java
@@ -10,9 +10,12 @@
         return new Object[][] {{21L}, {22L}, {23L}, {24L}};
     }
 
-    /** Operators write through outages and partitions; no replica goes back, and all converge. */
+    /**
+     * Operators write during outages and partitions; no replica reverts to an older version, and
+     * all converge.
+     */
     @Test(dataProvider = "seeds")
-    public void replicasNeverGoBackAndConverge(long seed) {
+    public void replicasNeverRevertAndConverge(long seed) {
         ConfigurationRun run = new ConfigurationRun(RunOptions.seed(seed));
 
         for (int i = 0; i < RunOptions.length(5); i++) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/EventQueue.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs events in order of virtual time, and of scheduling where times are equal. */
+/** Event queue in virtual time; events with equal times run in order of scheduling. */
 final class EventQueue {
 
     private record Event(long atMillis, long number, Runnable work) {}
@@ -11,15 +11,15 @@
     private final PriorityQueue<Event> mEvents =
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::number));
-    private long mNow = 1_000;
+    private long mNowMillis = 1_000;
     private long mNumber;
 
     long now() {
-        return mNow;
+        return mNowMillis;
     }
 
     void after(long millis, Runnable work) {
-        mEvents.add(new Event(mNow + millis, mNumber++, work));
+        mEvents.add(new Event(mNowMillis + millis, mNumber++, work));
     }
 
     void every(long millis, Runnable work) {
@@ -32,12 +32,12 @@
     }
 
     void runFor(long millis) {
-        long end = mNow + millis;
+        long end = mNowMillis + millis;
         while (!mEvents.isEmpty() && mEvents.peek().atMillis() <= end) {
             Event event = mEvents.poll();
-            mNow = event.atMillis();
+            mNowMillis = event.atMillis();
             event.work().run();
         }
-        mNow = end;
+        mNowMillis = end;
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/FakePlatform.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/FakePlatform.java
@@ -9,8 +9,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Object store with versions and conditional updates, which may be away, slow, or lose its answer
- * before or after the write takes effect.
+ * Object store with versions and conditional updates, which may be unavailable, slow, or lose its
+ * response before or after a write takes effect.
  *
  * @param <T> type of the values
  */
@@ -19,27 +19,27 @@
     /** A stored value; empty for a deleted object. */
     record Stored<T>(String key, long version, Optional<T> value) {}
 
-    /** What a caller gets back. */
+    /** Outcome of a call, as observed by the caller. */
     enum Result {
         DONE,
         CONFLICT,
         LOST,
-        AWAY
+        UNAVAILABLE
     }
 
-    /** Result of a call, with the object as it stands where the result tells it. */
-    record Answer<T>(Result result, Stored<T> stored) {}
+    /** Response to a call, with the stored object. */
+    record Response<T>(Result result, Stored<T> stored) {}
 
-    private static final int LOST_AFTER_MILLIS = 100;
-    private static final int LATE_MILLIS = 400;
+    private static final int RESPONSE_TIMEOUT_MILLIS = 100;
+    private static final int MAX_LATE_WRITE_MILLIS = 400;
 
     private final EventQueue mQueue;
     private final UniformRandomProvider mRandom;
     private final Map<String, Stored<T>> mObjects = new HashMap<>();
     private final List<Stored<T>> mLog = new ArrayList<>();
     private long mRevision;
-    boolean mAway;
-    double mLoss;
+    boolean mUnavailable;
+    double mLossRate;
     long mCalls;
 
     FakePlatform(EventQueue queue, UniformRandomProvider random) {
@@ -63,7 +63,7 @@
         return mObjects.values().stream().filter(o -> o.value().isPresent()).toList();
     }
 
-    /** Writes at once, for whoever is not under test. */
+    /** Writes immediately and without faults. */
     Stored<T> write(String key, Optional<T> value) {
         mRevision++;
         Stored<T> stored = new Stored<>(key, mRevision, value);
@@ -72,48 +72,48 @@
         return stored;
     }
 
-    void read(String key, Consumer<Answer<T>> then) {
+    void read(String key, Consumer<Response<T>> then) {
         mCalls++;
-        if (mAway || mRandom.nextDouble() < mLoss) {
-            answer(new Answer<>(Result.AWAY, stored(key)), LOST_AFTER_MILLIS, then);
+        if (mUnavailable || mRandom.nextDouble() < mLossRate) {
+            respond(new Response<>(Result.UNAVAILABLE, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
             return;
         }
-        Answer<T> answer = new Answer<>(Result.DONE, stored(key));
-        answer(answer, delay(), then);
+        Response<T> response = new Response<>(Result.DONE, stored(key));
+        respond(response, delay(), then);
     }
 
-    void put(String key, long expected, T value, Consumer<Answer<T>> then) {
+    void put(String key, long expected, T value, Consumer<Response<T>> then) {
         mCalls++;
-        if (mAway) {
-            answer(new Answer<>(Result.AWAY, stored(key)), LOST_AFTER_MILLIS, then);
+        if (mUnavailable) {
+            respond(new Response<>(Result.UNAVAILABLE, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
             return;
         }
-        boolean lost = mRandom.nextDouble() < mLoss;
-        // A lost write may have taken effect already, take effect late, or never.
+        boolean lost = mRandom.nextDouble() < mLossRate;
+        // A write whose response is lost may take effect in time, late or never.
         boolean never = lost && mRandom.nextInt(3) == 0;
-        int late = lost ? mRandom.nextInt(LATE_MILLIS) : delay();
+        int late = lost ? mRandom.nextInt(MAX_LATE_WRITE_MILLIS) : delay();
         if (!never) {
             mQueue.after(late, () -> effect(key, expected, value, lost, then));
         }
         if (lost) {
-            answer(new Answer<>(Result.LOST, stored(key)), LOST_AFTER_MILLIS, then);
+            respond(new Response<>(Result.LOST, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
         }
     }
 
     private void effect(
-            String key, long expected, T value, boolean lost, Consumer<Answer<T>> then) {
+            String key, long expected, T value, boolean lost, Consumer<Response<T>> then) {
         boolean matches = stored(key).version() == expected;
         if (matches) {
             write(key, Optional.of(value));
         }
         if (!lost) {
             Result result = matches ? Result.DONE : Result.CONFLICT;
-            answer(new Answer<>(result, stored(key)), delay(), then);
+            respond(new Response<>(result, stored(key)), delay(), then);
         }
     }
 
-    private void answer(Answer<T> answer, int millis, Consumer<Answer<T>> then) {
-        mQueue.after(millis, () -> then.accept(answer));
+    private void respond(Response<T> response, int millis, Consumer<Response<T>> then) {
+        mQueue.after(millis, () -> then.accept(response));
     }
 
     private int delay() {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipFleet.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipFleet.java
@@ -25,17 +25,18 @@
 import org.cyclamenpaddle.fleet.membership.MembershipEffect;
 import org.cyclamenpaddle.fleet.membership.MembershipSettings;
 
-/** Memberships of many hosts over a fake network, in virtual time. */
+/** Simulated memberships of many hosts over a fake network, in virtual time. */
 final class MembershipFleet {
 
-    private static final long TICK = MembershipSettings.DEFAULTS.tickMillis();
-    private static final long PROBE = MembershipSettings.DEFAULTS.probeTimeoutMillis();
+    private static final long TICK_MILLIS = MembershipSettings.DEFAULTS.tickMillis();
+    private static final long PROBE_TIMEOUT_MILLIS =
+            MembershipSettings.DEFAULTS.probeTimeoutMillis();
 
     final EventQueue mQueue = new EventQueue();
     final UniformRandomProvider mRandom;
     final Map<HostId, Host> mHosts = new LinkedHashMap<>();
     BiPredicate<HostRecord, HostRecord> mConnected = (a, b) -> true;
-    double mLoss;
+    double mLossRate;
     long mMessages;
     long mBytes;
     long mNanos;
@@ -49,8 +50,8 @@
         records.forEach(this::start);
     }
 
-    static HostRecord record(String host, String domain, long life) {
-        Incarnation incarnation = new Incarnation(new HostId(host), life);
+    static HostRecord record(String host, String domain, long incarnationNumber) {
+        Incarnation incarnation = new Incarnation(new HostId(host), incarnationNumber);
         return new HostRecord(
                 incarnation, new FailureDomain(domain), "127.0.0.1", 1, 2, HostState.ALIVE);
     }
@@ -69,7 +70,7 @@
         List<HostRecord> seeds =
                 mHosts.values().stream().map(h -> h.mRecord).limit(3).collect(Collectors.toList());
         host.handle(() -> host.mMembership.onHostList(seeds, mQueue.now()));
-        host.tickAfter(1 + mRandom.nextInt((int) TICK));
+        host.tickAfter(1 + mRandom.nextInt((int) TICK_MILLIS));
     }
 
     void restart(Host host) {
@@ -82,14 +83,14 @@
         return mConnected.test(a, b) && mConnected.test(b, a);
     }
 
-    /** One process, in one life. */
+    /** One incarnation of a host's process. */
     final class Host implements HeartbeatSource {
 
         final HostRecord mRecord;
         final Membership mMembership;
         boolean mUp = true;
         boolean mMachineDown;
-        long mPausedUntil;
+        long mPausedUntilMillis;
         long mDigest;
 
         Host(HostRecord record) {
@@ -109,8 +110,8 @@
             if (!mUp) {
                 return;
             }
-            if (mPausedUntil > mQueue.now()) {
-                mQueue.after(mPausedUntil - mQueue.now(), () -> handle(event));
+            if (mPausedUntilMillis > mQueue.now()) {
+                mQueue.after(mPausedUntilMillis - mQueue.now(), () -> handle(event));
                 return;
             }
             long start = System.nanoTime();
@@ -121,11 +122,11 @@
 
         private void tickAfter(long millis) {
             mQueue.after(
-                    Math.max(millis, mPausedUntil - mQueue.now()),
+                    Math.max(millis, mPausedUntilMillis - mQueue.now()),
                     () -> {
                         if (mUp) {
                             handle(() -> mMembership.tick(mQueue.now()));
-                            tickAfter(TICK);
+                            tickAfter(TICK_MILLIS);
                         }
                     });
         }
@@ -141,7 +142,7 @@
         private void send(HostRecord to, PeerMessage message) {
             mMessages++;
             mBytes += MessageSize.of(message);
-            boolean lost = mRandom.nextDouble() < mLoss || !connected(mRecord, to);
+            boolean lost = mRandom.nextDouble() < mLossRate || !connected(mRecord, to);
             if (!lost) {
                 mQueue.after(
                         1 + mRandom.nextInt(3),
@@ -157,8 +158,8 @@
                 mDigest = Math.max(mDigest, heartbeat.configurationDigest());
                 return mMembership.onHeartbeat(heartbeat, mQueue.now());
             }
-            if (message instanceof ProbeRequest ask) {
-                return mMembership.onProbeRequest(from, ask, mQueue.now());
+            if (message instanceof ProbeRequest request) {
+                return mMembership.onProbeRequest(from, request, mQueue.now());
             }
             return mMembership.onProbeResponse((ProbeResponse) message, mQueue.now());
         }
@@ -168,16 +169,17 @@
             boolean same = host.mRecord.incarnation().equals(target.incarnation());
             boolean refused = (!host.mUp && !host.mMachineDown) || !same;
             boolean path = connected(mRecord, target);
-            long wakes = Math.max(0, host.mPausedUntil - mQueue.now());
-            boolean answers = path && host.mUp && same && wakes + 2 < PROBE;
-            long takes = answers ? wakes + 2 : path && refused ? 2 : PROBE;
+            long pauseMillis = Math.max(0, host.mPausedUntilMillis - mQueue.now());
+            boolean responds = path && host.mUp && same && pauseMillis + 2 < PROBE_TIMEOUT_MILLIS;
+            long durationMillis =
+                    responds ? pauseMillis + 2 : path && refused ? 2 : PROBE_TIMEOUT_MILLIS;
             mQueue.after(
-                    takes,
+                    durationMillis,
                     () ->
                             handle(
                                     () ->
                                             mMembership.onConnectionProbe(
-                                                    target.incarnation(), answers, mQueue.now())));
+                                                    target.incarnation(), responds, mQueue.now())));
         }
 
         @Override
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipRun.java
@@ -8,11 +8,13 @@
 import org.cyclamenpaddle.fleet.simulation.MembershipFleet.Host;
 
 /**
- * Random faults on a fleet, one or two a round, each round ended by healing and a check.
+ * Simulation of random faults in a fleet, one or two per round; after each round the faults are
+ * healed and the views are checked.
  *
- * <p>Invariants: after healing every live host sees every other as alive and every killed life as
- * ended; a killed host is seen as dead by all within {@value #DETECTION_MILLIS} ms if nothing else
- * fails; a host paused for less than {@value #HARMLESS_PAUSE_MILLIS} ms is never seen as dead.
+ * <p>Invariants: after healing every live host considers every other host alive and every killed
+ * incarnation ended; a killed host is considered dead by all hosts within {@value
+ * #DETECTION_MILLIS} ms if nothing else fails; a host paused for less than {@value
+ * #HARMLESS_PAUSE_MILLIS} ms is never considered dead.
  */
 final class MembershipRun {
 
@@ -25,7 +27,7 @@
     MembershipRun(int hosts, int domains, long seed) {
         mFleet = new MembershipFleet(hosts, domains, seed);
         mFleet.mQueue.runFor(SETTLE_MILLIS);
-        checkSettled("at the start");
+        checkConverged("at the start");
     }
 
     void rounds(int rounds) {
@@ -36,10 +38,10 @@
     }
 
     void round(Fault fault) {
-        fault.inflict(this);
+        fault.inject(this);
         heal();
         mFleet.mQueue.runFor(SETTLE_MILLIS);
-        checkSettled("after " + fault);
+        checkConverged("after " + fault);
     }
 
     void kill(boolean machine) {
@@ -51,7 +53,9 @@
         while (others.stream().anyMatch(host -> host.view(victim) != HostState.DEAD)) {
             mFleet.mQueue.runFor(10);
             long passed = mFleet.mQueue.now() - killed;
-            require(passed <= DETECTION_MILLIS, () -> victim.mRecord + " unnoticed: " + passed);
+            require(
+                    passed <= DETECTION_MILLIS,
+                    () -> victim.mRecord + " not detected, milliseconds passed: " + passed);
         }
     }
 
@@ -62,13 +66,13 @@
 
     private void heal() {
         mFleet.mConnected = (a, b) -> true;
-        mFleet.mLoss = 0;
+        mFleet.mLossRate = 0;
         List<Host> down =
                 mFleet.mHosts.values().stream().filter(h -> !h.mUp).collect(Collectors.toList());
         down.forEach(mFleet::restart);
     }
 
-    private void checkSettled(String after) {
+    private void checkConverged(String after) {
         for (Host a : mFleet.up()) {
             for (Host b : mFleet.up()) {
                 require(
@@ -78,61 +82,69 @@
         }
     }
 
-    /** What goes wrong in a round. */
+    /** Fault injected in a round. */
     enum Fault {
         PROCESS_KILLED {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 run.kill(false);
             }
         },
         MACHINE_DOWN {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 run.kill(true);
             }
         },
         RESTART {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 run.mFleet.restart(run.anyHost());
                 run.mFleet.restart(run.anyHost());
             }
         },
         SHORT_PAUSE {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 Host host = run.anyHost();
                 MembershipFleet fleet = run.mFleet;
-                host.mPausedUntil = fleet.mQueue.now() + HARMLESS_PAUSE_MILLIS;
+                host.mPausedUntilMillis = fleet.mQueue.now() + HARMLESS_PAUSE_MILLIS;
                 for (int i = 0; i < 200; i++) {
                     fleet.mQueue.runFor(10);
                     for (Host other : fleet.up()) {
                         require(
                                 other.view(host) != HostState.DEAD
                                         && host.view(other) != HostState.DEAD,
-                                () -> "pause of " + host.mRecord + " taken for a death");
+                                () ->
+                                        "pause of "
+                                                + host.mRecord
+                                                + " led to a false detection of a death");
                     }
                 }
             }
         },
         LONG_PAUSE {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 Host host = run.anyHost();
                 MembershipFleet fleet = run.mFleet;
-                host.mPausedUntil = fleet.mQueue.now() + 2_000 + fleet.mRandom.nextInt(30_000);
-                fleet.mQueue.runFor(host.mPausedUntil - fleet.mQueue.now() + 200);
+                host.mPausedUntilMillis =
+                        fleet.mQueue.now() + 2_000 + fleet.mRandom.nextInt(30_000);
+                fleet.mQueue.runFor(host.mPausedUntilMillis - fleet.mQueue.now() + 200);
                 for (Host other : fleet.up()) {
                     require(
                             host.view(other) != HostState.DEAD,
-                            () -> host.mRecord + " woke up and called " + other.mRecord + " dead");
+                            () ->
+                                    host.mRecord
+                                            + " resumed and declared "
+                                            + other.mRecord
+                                            + " dead");
                 }
             }
         },
         PARTITION {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 int cut = run.mFleet.mRandom.nextInt(2);
                 run.mFleet.mConnected =
                         (a, b) ->
@@ -151,7 +163,7 @@
         },
         LINK_CUT {
             @Override
-            void inflict(MembershipRun run) {
+            void inject(MembershipRun run) {
                 Host one = run.anyHost();
                 Host two = run.anyHost();
                 run.mFleet.mConnected =
@@ -161,13 +173,13 @@
                 run.mFleet.mQueue.runFor(10_000);
                 require(
                         one.view(two) != HostState.DEAD && two.view(one) != HostState.DEAD,
-                        () -> "cut link taken for the death of " + two.mRecord);
+                        () -> "cut link led to a false detection of the death of " + two.mRecord);
             }
         },
         LOSS {
             @Override
-            void inflict(MembershipRun run) {
-                run.mFleet.mLoss = 0.3;
+            void inject(MembershipRun run) {
+                run.mFleet.mLossRate = 0.3;
                 run.mFleet.mQueue.runFor(10_000);
                 Host victim = run.anyHost();
                 run.mFleet.restart(victim);
@@ -175,6 +187,6 @@
             }
         };
 
-        abstract void inflict(MembershipRun run);
+        abstract void inject(MembershipRun run);
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipRunTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipRunTest.java
@@ -10,7 +10,7 @@
         return new Object[][] {{6, 2, 1L, 30}, {9, 4, 2L, 30}, {40, 4, 3L, 3}};
     }
 
-    /** Hosts die, pause, restart and lose each other; views must be right again after each. */
+    /** Hosts die, pause, restart and are partitioned; all views must converge after each fault. */
     @Test(dataProvider = "fleets")
     public void viewsConvergeAfterEachFault(int hosts, int domains, long seed, int rounds) {
         MembershipRun run = new MembershipRun(hosts, domains, RunOptions.seed(seed));
@@ -19,11 +19,12 @@
     }
 
     /**
-     * In a large fleet most hosts are watched from inside their own domain. When a domain is cut
-     * off, the few hosts outside that watch one of its hosts have to lead the rest to notice.
+     * In a large fleet most hosts are watched from inside their own domain. When a domain is
+     * partitioned, the few outside hosts that watch one of its hosts must trigger the detection of
+     * the others.
      */
     @Test
-    public void largeFleetSeesAWholeDomainCutOff() {
+    public void largeFleetDetectsPartitionOfADomain() {
         new MembershipRun(40, 4, RunOptions.seed(4)).round(MembershipRun.Fault.PARTITION);
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MessageSize.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MessageSize.java
@@ -4,21 +4,25 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 
-/** Estimates the bytes of a message on the wire, by the sizes of MessagePack. */
+/** Estimates the encoded size of a message in bytes, from the sizes of MessagePack types. */
 final class MessageSize {
 
-    private static final int FRAME = 4 + 1 + 1 + 9;
-    private static final int LONG = 9;
-    private static final int INT = 3;
+    private static final int FRAME_BYTES = 4 + 1 + 1 + 9;
+    private static final int LONG_BYTES = 9;
+    private static final int INT_BYTES = 3;
 
     private MessageSize() {}
 
     static int of(PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             int records = heartbeat.hosts().stream().mapToInt(MessageSize::record).sum();
-            return FRAME + record(heartbeat.sender()) + 3 * LONG + 2 * INT + records;
+            return FRAME_BYTES
+                    + record(heartbeat.sender())
+                    + 3 * LONG_BYTES
+                    + 2 * INT_BYTES
+                    + records;
         }
-        return FRAME + LONG + record();
+        return FRAME_BYTES + LONG_BYTES + record();
     }
 
     private static int record() {
@@ -28,12 +32,12 @@
     private static int record(HostRecord record) {
         return 2
                 + record.incarnation().host().value().length()
-                + LONG
+                + LONG_BYTES
                 + 1
                 + record.domain().value().length()
                 + 1
                 + record.address().length()
-                + 2 * INT
+                + 2 * INT_BYTES
                 + 1;
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRun.java
@@ -22,18 +22,18 @@
 import org.cyclamenpaddle.fleet.simulation.FakePlatform.Result;
 
 /**
- * Two hosts that each at times take themselves for the owner of one engine, are paused between a
- * decision and its effect, and learn of preset changes at different times.
+ * Simulation of two hosts that may both consider themselves the owner of one engine, are paused
+ * between a decision and its effect, and learn of preset changes at different times.
  *
- * <p>Invariants: no two hosts order with one fencing number; the engine never obeys a number below
- * one that it obeyed before, which an engine that ignores numbers owes to leases alone; once one
- * owner is left, the engine comes to what is asked.
+ * <p>Invariants: no two hosts send orders with the same fencing token; the engine never executes an
+ * order with a lower token than an earlier one, which for an engine that ignores tokens follows
+ * from the leases alone; once a single owner remains, the engine reaches the desired setup.
  */
 final class OrderRun {
 
     private static final OrderSettings SETTINGS = new OrderSettings(500, 400, 200);
     private static final long SETTLE_MILLIS = 10_000;
-    private static final int LATEST_NEWS_MILLIS = 1_500;
+    private static final int MAX_NOTIFICATION_DELAY_MILLIS = 1_500;
 
     private final EventQueue mQueue = new EventQueue();
     private final UniformRandomProvider mRandom;
@@ -42,10 +42,10 @@
     private final Holder[] mHolders;
     private final Map<Long, Incarnation> mFences = new HashMap<>();
     private Optional<EngineSetup> mEngine = Optional.empty();
-    private long mObeyed;
+    private long mHighestFence;
     private boolean mFaults;
     private int mOrders;
-    private int mRefused;
+    private int mRejected;
 
     OrderRun(FencingSupport fencing, long seed) {
         mFencing = fencing;
@@ -60,40 +60,44 @@
             mQueue.runFor(mRandom.nextInt(800));
             step(mRandom.nextInt(8));
         }
-        mPlatform.mAway = false;
-        mPlatform.mLoss = 0;
+        mPlatform.mUnavailable = false;
+        mPlatform.mLossRate = 0;
         mFaults = false;
-        mQueue.runFor(LATEST_NEWS_MILLIS);
-        EngineSetup asked = setup();
+        mQueue.runFor(MAX_NOTIFICATION_DELAY_MILLIS);
+        EngineSetup desired = setup();
         Holder last = mHolders[mRandom.nextInt(2)];
         for (Holder holder : mHolders) {
-            holder.mAsked = asked;
+            holder.mDesired = desired;
             holder.own(holder == last);
         }
         mQueue.runFor(SETTLE_MILLIS);
-        require(mEngine.equals(Optional.of(asked)), () -> mEngine + " in place of " + asked);
+        require(mEngine.equals(Optional.of(desired)), () -> mEngine + " instead of " + desired);
     }
 
     int orders() {
         return mOrders;
     }
 
-    int refused() {
-        return mRefused;
+    int rejected() {
+        return mRejected;
     }
 
     private void step(int choice) {
         Holder holder = mHolders[mRandom.nextInt(2)];
         switch (choice) {
-            case 0 -> holder.mPausedUntil = mQueue.now() + mRandom.nextInt(3_000);
+            case 0 -> holder.mPausedUntilMillis = mQueue.now() + mRandom.nextInt(3_000);
             case 1 -> holder.own(true);
             case 2 -> holder.own(false);
-            case 3 -> mPlatform.mAway = mRandom.nextInt(3) == 0;
-            case 4 -> mPlatform.mLoss = mRandom.nextInt(2) * 0.2;
+            case 3 -> mPlatform.mUnavailable = mRandom.nextInt(3) == 0;
+            case 4 -> mPlatform.mLossRate = mRandom.nextInt(2) * 0.2;
             default -> {
-                EngineSetup asked = setup();
-                mQueue.after(mRandom.nextInt(LATEST_NEWS_MILLIS), () -> mHolders[0].mAsked = asked);
-                mQueue.after(mRandom.nextInt(LATEST_NEWS_MILLIS), () -> mHolders[1].mAsked = asked);
+                EngineSetup desired = setup();
+                mQueue.after(
+                        mRandom.nextInt(MAX_NOTIFICATION_DELAY_MILLIS),
+                        () -> mHolders[0].mDesired = desired);
+                mQueue.after(
+                        mRandom.nextInt(MAX_NOTIFICATION_DELAY_MILLIS),
+                        () -> mHolders[1].mDesired = desired);
             }
         }
     }
@@ -105,12 +109,14 @@
     }
 
     private void arrive(long fence, EngineSetup setup) {
-        if (mFencing == FencingSupport.HONOURS && fence < mObeyed) {
-            mRefused++;
+        if (mFencing == FencingSupport.HONOURS && fence < mHighestFence) {
+            mRejected++;
             return;
         }
-        require(fence >= mObeyed, () -> "obeyed " + fence + " after " + mObeyed);
-        mObeyed = fence;
+        require(
+                fence >= mHighestFence,
+                () -> "executed fence " + fence + " after " + mHighestFence);
+        mHighestFence = fence;
         mOrders++;
         mEngine = Optional.of(setup);
     }
@@ -122,8 +128,8 @@
         private boolean mOwner = true;
         private boolean mDraining;
         private boolean mDrained;
-        private long mPausedUntil;
-        private EngineSetup mAsked = setup();
+        private long mPausedUntilMillis;
+        private EngineSetup mDesired = setup();
 
         private Holder(String host) {
             mSelf = new Incarnation(new HostId(host), 1);
@@ -142,8 +148,8 @@
         }
 
         private void handle(Runnable event) {
-            if (mPausedUntil > mQueue.now()) {
-                mQueue.after(mPausedUntil - mQueue.now(), () -> handle(event));
+            if (mPausedUntilMillis > mQueue.now()) {
+                mQueue.after(mPausedUntilMillis - mQueue.now(), () -> handle(event));
             } else {
                 event.run();
             }
@@ -155,7 +161,7 @@
 
         private void tick() {
             if (mOwner) {
-                apply(mController.tick(Optional.of(mAsked), mDrained, mQueue.now()));
+                apply(mController.tick(Optional.of(mDesired), mDrained, mQueue.now()));
             }
         }
 
@@ -165,10 +171,10 @@
 
         private void apply(OrderEffect effect) {
             if (mFaults && mRandom.nextInt(10) == 0) {
-                mPausedUntil = mQueue.now() + mRandom.nextInt(1_500);
+                mPausedUntilMillis = mQueue.now() + mRandom.nextInt(1_500);
             }
             if (effect instanceof OrderEffect.ReadState) {
-                long fence = mFencing == FencingSupport.HONOURS ? mObeyed : 0;
+                long fence = mFencing == FencingSupport.HONOURS ? mHighestFence : 0;
                 EngineReport report = new EngineReport(mEngine, fence);
                 after(2, () -> apply(mController.onState(report, mQueue.now())));
             } else if (effect instanceof OrderEffect.AcquireSlots) {
@@ -180,23 +186,23 @@
                 mDraining = false;
                 mDrained = false;
             } else if (effect instanceof OrderEffect.ReadStatus) {
-                mPlatform.read("fence", answer -> handle(() -> apply(onStatus(answer))));
+                mPlatform.read("fence", response -> handle(() -> apply(onStatus(response))));
             } else if (effect instanceof OrderEffect.TakeFence take) {
                 mPlatform.put(
                         "fence",
                         take.expectedVersion(),
                         take.status().text(),
-                        answer -> handle(() -> apply(onPut(answer.result()))));
+                        response -> handle(() -> apply(onPut(response.result()))));
             } else if (effect instanceof OrderEffect.SendOrder order) {
                 after(mRandom.nextInt(30), () -> send(order));
             }
         }
 
-        private List<OrderEffect> onStatus(FakePlatform.Answer<String> answer) {
-            return answer.result() == Result.DONE
+        private List<OrderEffect> onStatus(FakePlatform.Response<String> response) {
+            return response.result() == Result.DONE
                     ? mController.onStatus(
-                            answer.stored().version(),
-                            answer.stored().value().map(text -> FenceStatus.parse(text).get()),
+                            response.stored().version(),
+                            response.stored().value().map(text -> FenceStatus.parse(text).get()),
                             mQueue.now())
                     : mController.onFailed(mQueue.now());
         }
@@ -205,7 +211,7 @@
             return switch (result) {
                 case DONE -> mController.onFenceTaken(mQueue.now());
                 case CONFLICT, LOST -> mController.onFenceUnsure();
-                case AWAY -> mController.onFailed(mQueue.now());
+                case UNAVAILABLE -> mController.onFailed(mQueue.now());
             };
         }
 
@@ -215,8 +221,8 @@
                 require(
                         other == null || other.equals(mSelf),
                         () -> "fence " + order.fence() + " used by " + other + " and " + mSelf);
-                long travels = mRandom.nextInt((int) SETTINGS.orderMillis());
-                mQueue.after(travels, () -> arrive(order.fence(), order.setup()));
+                long delayMillis = mRandom.nextInt((int) SETTINGS.orderMillis());
+                mQueue.after(delayMillis, () -> arrive(order.fence(), order.setup()));
             }
             after(SETTINGS.orderMillis(), () -> apply(mController.onOrderEnded(mQueue.now())));
         }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRunTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRunTest.java
@@ -18,9 +18,12 @@
         };
     }
 
-    /** Two hosts race for one engine; it must end as asked and never obey the older one last. */
+    /**
+     * Two hosts compete for one engine; it must reach the desired setup and never execute a stale
+     * order after a newer one.
+     */
     @Test(dataProvider = "seeds")
-    public void engineEndsAsAsked(FencingSupport fencing, long seed) {
+    public void engineReachesDesiredSetup(FencingSupport fencing, long seed) {
         OrderRun run = new OrderRun(fencing, RunOptions.seed(seed));
 
         for (int i = 0; i < RunOptions.length(100); i++) {
@@ -29,6 +32,7 @@
 
         assertTrue(run.orders() > 100, "too few orders: " + run.orders());
         assertTrue(
-                fencing == FencingSupport.IGNORES || run.refused() > 0, "no stale order was met");
+                fencing == FencingSupport.IGNORES || run.rejected() > 0,
+                "no stale order was rejected");
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ScaleMeasurement.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ScaleMeasurement.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Measures membership by size of the fleet; run by name, as it takes longer than a test may. */
+/**
+ * Measures membership by fleet size; must be selected by name, as it takes too long for the regular
+ * test run.
+ */
 public class ScaleMeasurement {
 
     private static final int DOMAINS = 6;
@@ -29,7 +32,7 @@
         fleet.mQueue.runFor(30_000);
         long missing =
                 fleet.up().stream()
-                        .mapToLong(a -> fleet.up().stream().filter(b -> unseen(a, b)).count())
+                        .mapToLong(a -> fleet.up().stream().filter(b -> notAlive(a, b)).count())
                         .sum();
         long seconds = 10;
         long messages = fleet.mMessages;
@@ -42,7 +45,7 @@
         report(hosts, "bytes sent per host and second", (fleet.mBytes - bytes) / share);
         report(hosts, "core share in percent", (fleet.mNanos - nanos) / share / 1e7);
         report(hosts, "longest ms until all see a dead machine", longest(() -> kill(fleet)));
-        report(hosts, "longest ms until all have a change", longest(() -> spread(fleet)));
+        report(hosts, "longest ms until all have a change", longest(() -> distributeChange(fleet)));
     }
 
     @DataProvider
@@ -65,7 +68,7 @@
         return LongStream.generate(measured).limit(SAMPLES).max().orElseThrow();
     }
 
-    private static boolean unseen(Host a, Host b) {
+    private static boolean notAlive(Host a, Host b) {
         return a.view(b) != HostState.ALIVE;
     }
 
@@ -82,8 +85,11 @@
         return fleet.mQueue.now() - start;
     }
 
-    /** Gives the two watchers of each domain a new digest and waits until heartbeats spread it. */
-    private static long spread(MembershipFleet fleet) {
+    /**
+     * Sets a new digest on the two watchers of each domain and waits until heartbeats have
+     * distributed it.
+     */
+    private static long distributeChange(MembershipFleet fleet) {
         Membership view = fleet.up().get(0).mMembership;
         List<Host> watchers =
                 view.alive().stream()
