--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -87,12 +87,12 @@
     }
 
     /** Takes a peer's wish that this host tries to reach another. */
-    public void onProbeAsk(HostRecord asker, ProbeRequest ask) {
+    public void onProbeRequest(HostRecord asker, ProbeRequest ask) {
         act(membership -> membership.onProbeRequest(asker, ask, mClock.millis()));
     }
 
     /** Takes what a peer found. */
-    public void onProbeAnswer(ProbeResponse answer) {
+    public void onProbeResponse(ProbeResponse answer) {
         act(membership -> membership.onProbeResponse(answer, mClock.millis()));
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Returns whether some host's memory was lost within the span that ends now. */
-    public boolean lostLately(long spanMillis) {
+    public boolean hostLostWithin(long spanMillis) {
         return mMembership.read(
                 membership -> membership.hostLostWithin(spanMillis, mClock.millis()));
     }
