--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -61,14 +61,14 @@
         mLoop = loop;
         mOnEnd = onEnd;
         mStartMillis = relay.clock().millis();
-        long callerMillis = request.caller().callerMillis().orElse(Long.MAX_VALUE);
+        long callerMillis = request.caller().callerTimeoutMillis().orElse(Long.MAX_VALUE);
         mRetryPolicy = new RetryPolicy(RetryTerms.of(request.route(), callerMillis), mStartMillis);
         mAnswer = new CallerAnswer(writer, request, retryAfter, mRetryPolicy);
         mRequestLog = new RequestLog(relay, request, mRetryPolicy, mAnswer, mStartMillis);
     }
 
     void start() {
-        mRelay.budget().requested(mRequest.service());
+        mRelay.budget().recordRequest(mRequest.service());
         if (mRequest.engine().isPresent()) {
             mRelay.demand().begun(mRequest.service(), mRequest.caller().size());
         }
@@ -324,7 +324,7 @@
             mReader.ifPresent(
                     reader ->
                             send.prompt()
-                                    .map(mRelay.engines()::release)
+                                    .map(mRelay.engineMessages()::release)
                                     .ifPresent(call -> ReserveCall.quietly(mRelay, reader, call)));
         }
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -68,7 +68,7 @@
 
     private static RetryStage stage(
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
-        OptionalLong waits = request.caller().callerMillis();
+        OptionalLong waits = request.caller().callerTimeoutMillis();
         if (sentBefore) {
             return RetryStage.REPEAT;
         }
@@ -77,7 +77,7 @@
         long spent = first.waitMillis() + request.comeBackMillis(relay.demand());
         boolean comesBack =
                 waits.isPresent()
-                        && relay.callers()
+                        && relay.returningClients()
                                 .read(
                                         callers ->
                                                 callers.comesBack(
@@ -176,7 +176,10 @@
         } else {
             mAvoid.add(runner.id());
             mRelay.log().log(
-                    RelayEvent.PLACE_NOT_KEPT, mRequest.caller().id(), runner.id(), answer.cause());
+                    RelayEvent.RESERVATION_FAILED,
+                    mRequest.caller().id(),
+                    runner.id(),
+                    answer.cause());
         }
         find();
     }
