--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendCall.java
@@ -4,14 +4,15 @@
 import org.cyclamenpaddle.relay.backend.Backend;
 
 /**
- * What the relay itself says to a backend server along with a caller's request.
+ * Parameters that the relay adds to a caller's request when it forwards it to a backend server.
  *
- * @param target the server that is meant; another one at its address must not run the request
- * @param remainingMillis time left for the answer
- * @param prefillOnly whether only the prompt is to be read
- * @param prompt the prompt read elsewhere; empty if there is none
- * @param reservation name of the place that is kept for the request; empty if there is none
- * @param resumeAfter id of the event after which to go on; empty for the beginning
+ * @param target server that the request is addressed to; another one at its address must not run it
+ * @param remainingMillis time left until the response is due
+ * @param prefillOnly whether the server is to run the prefill only
+ * @param prompt handle of the prompt that another engine has prefilled; empty if there is none
+ * @param reservation name of the reservation made for the request; empty if there is none
+ * @param resumeAfter id of the event after which the stream resumes; empty to start at the
+ *     beginning
  */
 public record BackendCall(
         Backend target,
@@ -23,7 +24,8 @@
 
     public BackendCall {
         if (target == null || remainingMillis < 0) {
-            throw new IllegalArgumentException("call needs a target and time");
+            throw new IllegalArgumentException(
+                    "call needs a target and a remaining time of at least 0 ms");
         }
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendMessages.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendMessages.java
@@ -3,12 +3,12 @@
 import com.linecorp.armeria.common.RequestHeaders;
 import com.linecorp.armeria.common.ResponseHeaders;
 
-/** Encodes callers' requests for backend servers, and decodes the heads of their answers. */
+/** Encodes requests to backend servers and decodes the heads of their responses. */
 public interface BackendMessages {
 
-    /** Returns the headers with which a caller's request is sent on. */
+    /** Returns the headers with which a caller's request is forwarded. */
     RequestHeaders request(CallerRequest request, BackendCall call);
 
-    /** Decodes the head of an answer. */
+    /** Decodes the head of a response. */
     BackendResponse response(ResponseHeaders headers);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendResponse.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendResponse.java
@@ -5,28 +5,28 @@
 import java.util.Optional;
 
 /**
- * Head of a backend server's answer, decoded.
+ * Decoded response head of a backend server.
  *
- * @param headers as they came
- * @param requestId id of the request that it answers, if it says so
- * @param signed whether the server vouches for the answer
- * @param notRun whether the server says that it has not run the request and never will
+ * @param headers response headers as received
+ * @param requestId id of the request that the response belongs to; empty if the server names none
+ * @param signed whether the response carries the server's signature
+ * @param notRun whether the server states that it has not run the request and never will
  */
 public record BackendResponse(
         ResponseHeaders headers, Optional<String> requestId, boolean signed, boolean notRun) {
 
     public BackendResponse {
         if (headers == null || requestId == null) {
-            throw new IllegalArgumentException("answer needs headers");
+            throw new IllegalArgumentException("response needs headers and a request id");
         }
     }
 
-    /** Returns whether the server says that another one was meant. */
+    /** Returns whether the request reached a server other than the one it was addressed to. */
     public boolean misdirected() {
         return notRun && headers.status().equals(HttpStatus.MISDIRECTED_REQUEST);
     }
 
-    /** Returns whether the status says success. */
+    /** Returns whether the status is a success. */
     public boolean success() {
         return headers.status().isSuccess();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerMessages.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerMessages.java
@@ -3,15 +3,15 @@
 import com.linecorp.armeria.common.RequestHeaders;
 import io.vavr.control.Either;
 
-/** Decodes what callers send. */
+/** Decodes callers' requests. */
 @FunctionalInterface
 public interface CallerMessages {
 
     /**
      * Decodes a request.
      *
-     * @param headers its headers, without those that concern one connection only
-     * @return the request, or what is wrong with it
+     * @param headers request headers without hop-by-hop headers
+     * @return the request, or the reason why it is invalid
      */
     Either<String, CallerRequest> request(RequestHeaders headers);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerRequest.java
@@ -6,13 +6,13 @@
 import org.cyclamenpaddle.relay.backend.WorkSize;
 
 /**
- * A caller's request, decoded.
+ * Decoded request of a caller.
  *
- * @param id names this attempt of the caller
- * @param headers what backend servers are to see, without anything that only the relay may say
- * @param callerTimeoutMillis how long the caller waits; empty if it does not say
- * @param size its work
- * @param resumeAfter id of the last event that the caller has; empty at the beginning
+ * @param id identifies this attempt of the caller
+ * @param headers headers to forward to backend servers, without those that only the relay may set
+ * @param callerTimeoutMillis how long the caller waits for the response; empty if it does not say
+ * @param size estimated work of the request
+ * @param resumeAfter id of the last event that the caller has received; empty at the beginning
  */
 public record CallerRequest(
         String id,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/EngineMessages.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/EngineMessages.java
@@ -9,40 +9,43 @@
 import org.cyclamenpaddle.relay.backend.EngineReport;
 
 /**
- * Encodes what engines are asked about their memory, and decodes what they answer.
+ * Encodes calls to engines about their memory and decodes the responses.
  *
- * <p>Where an answer can be wrong, left is what is wrong with it.
+ * <p>A decoding method returns a left value with the reason if the response is malformed.
  */
 public interface EngineMessages {
 
-    /** Decodes the body of the answer to a call that had a prompt read by an engine. */
-    Either<String, PromptHandle> promptHandle(Backend reader, byte[] body);
+    /** Decodes the response body of a prefill call. */
+    Either<String, PromptHandle> promptHandle(Backend prefillEngine, byte[] body);
 
     /**
-     * Returns the call that keeps a place at an engine.
+     * Returns the call that reserves memory on an engine.
      *
-     * @param engine the engine; another one at its address does not answer for it
-     * @param tokens memory to keep
-     * @param millis how long it is kept at most
+     * @param engine engine addressed; another one at its address does not accept the call
+     * @param tokens memory to reserve, in tokens
+     * @param millis time after which an unused reservation expires
      */
     AggregatedHttpRequest reserve(Backend engine, long tokens, long millis);
 
     /**
-     * Decodes the answer to {@link #reserve}.
+     * Decodes the response to {@link #reserve}.
      *
-     * @return the name of the place; empty if the engine has no room
+     * @return the name of the reservation; empty if the engine has too little free memory
      */
-    Either<String, Optional<String>> reservation(AggregatedHttpResponse answer);
+    Either<String, Optional<String>> reservation(AggregatedHttpResponse response);
 
-    /** Returns the call that gives a place back that no request will take. */
+    /** Returns the call that cancels a reservation that no request will use. */
     RequestHeaders cancel(String reservation);
 
-    /** Returns the call that frees a prompt, or a generation's memory, that nobody will take. */
+    /**
+     * Returns the call that releases a prefilled prompt, or a generation's memory, that no engine
+     * will fetch.
+     */
     RequestHeaders release(PromptHandle prompt);
 
-    /** Returns the call that asks an engine for a report. */
+    /** Returns the call that requests an engine's report. */
     RequestHeaders report(Backend engine);
 
-    /** Decodes the answer to {@link #report(Backend)}. */
-    Either<String, EngineReport> report(AggregatedHttpResponse answer);
+    /** Decodes the response to {@link #report(Backend)}. */
+    Either<String, EngineReport> report(AggregatedHttpResponse response);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/PromptHandle.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/PromptHandle.java
@@ -1,16 +1,16 @@
 package org.cyclamenpaddle.relay.wire;
 
 /**
- * A prompt that a prefill engine has read and keeps for a short time.
+ * Handle of a prompt whose KV cache a prefill engine holds for a short time.
  *
- * @param endpoint address with port of the prefill engine
- * @param name names the kept prompt there
+ * @param endpoint address and port of the prefill engine
+ * @param name name of the prompt on that engine
  */
 public record PromptHandle(String endpoint, String name) {
 
     public PromptHandle {
         if (endpoint == null || name == null || name.isEmpty()) {
-            throw new IllegalArgumentException("handle needs an endpoint and a name");
+            throw new IllegalArgumentException("prompt handle needs an endpoint and a name");
         }
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Ports behind which a deployment's own messages are translated. */
+/** Interfaces that translate between the relay and the messages of a deployment. */
 package org.cyclamenpaddle.relay.wire;
