--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -15,137 +15,147 @@
 import org.cyclamenpaddle.relay.wire.BackendResponse;
 import org.cyclamenpaddle.relay.wire.PromptHandle;
 
-/** One send of a request to the backend server that runs it, up to its typed outcome. */
+/** One attempt to run a request on a backend server, up to its typed outcome. */
 final class BackendAttempt implements ExchangeListener {
 
-    /** Told the outcome, once, unless the send was cancelled or given up. */
+    /** Notified once of the outcome, unless the attempt was cancelled or timed out. */
     interface EndListener {
         void ended(SendOutcome outcome, String cause);
     }
 
     /**
-     * What a send is bound by.
+     * Conditions of an attempt.
      *
-     * @param promptReadElsewhere whether no prompt has to be read by the server
-     * @param othersLeft whether another server could still be asked after a silence
-     * @param connection what connection carries it
-     * @param sentOnceMore told before the server is sent the request a second time
+     * @param prefilledElsewhere whether another engine has prefilled the prompt
+     * @param retriableElsewhere whether the request may be sent to another server after a silence
+     * @param connection kind of connection to use
+     * @param beforeResend run before the request is sent to the server a second time
      */
     record Terms(
-            boolean promptReadElsewhere,
-            boolean othersLeft,
+            boolean prefilledElsewhere,
+            boolean retriableElsewhere,
             Connection connection,
-            Runnable sentOnceMore) {}
+            Runnable beforeResend) {}
 
-    /** What connection carries a send. */
+    /** Kind of connection that an attempt uses. */
     enum Connection {
-        /** One of its own: a failed connect proves that nothing was sent. */
+        /** A new connection: a failed connect proves that nothing was sent. */
         NEW,
-        /** A kept one that has just carried an answer of the same server. */
-        PROVEN,
-        /** A kept one that may have been closed meanwhile; for requests that may be repeated. */
-        KEPT
+        /** A pooled connection that has just carried a response of the same server. */
+        RECENTLY_USED,
+        /** A pooled connection that may be stale; only for requests that may be repeated. */
+        POOLED
     }
 
     /**
      * Statuses that promise a caller that its request never ran.
      *
-     * <p>Safeguard: a server that answers one of them without saying that it did not run the
-     * request may have run it. Passed on, the caller would send it again, and it would run twice.
+     * <p>Safeguard: a server that responds with one of them without stating that it did not run the
+     * request may have run it. If the status were forwarded, the caller would send the request
+     * again and it would run twice.
      */
-    private static final Set<HttpStatus> PROMISES =
+    private static final Set<HttpStatus> NOT_RUN_STATUSES =
             Set.of(
                     HttpStatus.REQUEST_TIMEOUT,
                     HttpStatus.MISDIRECTED_REQUEST,
                     HttpStatus.TOO_MANY_REQUESTS,
                     HttpStatus.SERVICE_UNAVAILABLE);
 
-    /** Multiple of the target after which a silent server is given up for another one. */
-    private static final double PATIENCE_TARGETS = 2.5;
+    /**
+     * Multiple of the route's target latency after which a silent server is replaced by another
+     * one.
+     */
+    private static final double SILENCE_TIMEOUT_TARGETS = 2.5;
 
-    /** Share of the time left that may be spent on one server while others could still be asked. */
-    private static final double PATIENCE_SHARE = 0.45;
+    /**
+     * Share of the remaining time that may be spent on one server while others can still be tried.
+     */
+    private static final double SILENCE_TIMEOUT_SHARE = 0.45;
 
     /**
-     * Share of a bearable silence after which a resumable stream goes on elsewhere: late, but while
-     * its caller still waits.
+     * Share of the route's silence limit after which a resumable stream moves to another server:
+     * late, but while its caller still waits.
      */
-    private static final double STREAM_PAUSE_SHARE = 0.4;
+    private static final double STREAM_SILENCE_SHARE = 0.4;
 
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
     private final BackendCall mCall;
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final EndListener mEndListener;
     private final long mStartMillis;
     private EventLoop mLoop;
     private BackendExchange mExchange;
-    private Optional<ScheduledFuture<?>> mPatience = Optional.empty();
+    private Optional<ScheduledFuture<?>> mSilenceTimeout = Optional.empty();
     private BackendResponse mHead;
-    private final boolean mOthersLeft;
-    private final Runnable mSentOnceMore;
+    private final boolean mRetriableElsewhere;
+    private final Runnable mBeforeResend;
     private Connection mConnection;
-    private boolean mPromptRead;
-    private boolean mFlowing;
+    private boolean mPrefilled;
+    private boolean mResponseStarted;
     private boolean mEnded;
 
     BackendAttempt(
             RelayContext relay,
             RelayRequest request,
             BackendCall call,
-            CallerAnswer answer,
+            CallerResponse response,
             Terms terms,
             EndListener endListener) {
         mRelay = relay;
         mRequest = request;
         mCall = call;
-        mAnswer = answer;
-        mPromptRead = terms.promptReadElsewhere();
-        mOthersLeft = terms.othersLeft();
+        mResponse = response;
+        mPrefilled = terms.prefilledElsewhere();
+        mRetriableElsewhere = terms.retriableElsewhere();
         mConnection = terms.connection();
-        mSentOnceMore = terms.sentOnceMore();
+        mBeforeResend = terms.beforeResend();
         mEndListener = endListener;
         mStartMillis = relay.clock().millis();
     }
 
     void start(EventLoop loop) {
         mLoop = loop;
-        waitFor(patienceMillis());
+        restartSilenceTimeout(silenceTimeoutMillis());
         open();
     }
 
     private void open() {
-        boolean kept = mConnection != Connection.NEW;
+        boolean pooled = mConnection != Connection.NEW;
         mExchange =
                 BackendExchange.send(
-                        mRelay.connections().client(target().address(), target().port(), kept),
+                        mRelay.connections().client(target().address(), target().port(), pooled),
                         mRelay.backendMessages().request(mRequest.caller(), mCall),
                         mRequest.body(),
                         mRelay.backendMessages(),
                         mLoop,
                         this);
-        mExchange.listen();
+        mExchange.subscribe();
     }
 
-    /** Ends the send because the caller has gone. */
+    /** Cancels the attempt because the caller disconnected. */
     void cancel() {
         mExchange.cancel();
-        close(SendOutcome.ABANDONED, "caller gone");
+        close(SendOutcome.ABANDONED, "caller disconnected");
     }
 
-    /** Ends the send because no time is left, and returns how far it had come. */
-    SendOutcome giveUp() {
-        SendOutcome outcome = silence(mExchange.cancel());
-        close(mFlowing ? SendOutcome.ABANDONED : outcome, "no time left");
+    /**
+     * Cancels the attempt at the request's timeout.
+     *
+     * @return how far the attempt had come
+     */
+    SendOutcome timeOut() {
+        SendOutcome outcome = silentIfConnected(mExchange.cancel());
+        close(mResponseStarted ? SendOutcome.ABANDONED : outcome, "request timed out");
         return outcome;
     }
 
-    /** Returns the prompt that was read for this send. */
+    /** Returns the handle of the prompt that was prefilled for this attempt. */
     Optional<PromptHandle> prompt() {
         return mCall.prompt();
     }
 
-    long spentMillis() {
+    long elapsedMillis() {
         return mRelay.clock().millis() - mStartMillis;
     }
 
@@ -157,35 +167,35 @@
             end(
                     head.misdirected() ? SendOutcome.MISDIRECTED : SendOutcome.REJECTED,
                     "status " + head.headers().status().code());
-        } else if (!ownAnswer(head)) {
-            // The connection carries another request's answer, or bytes of no server's making.
-            // Neither may reach the caller, and what became of the request nobody can tell.
+        } else if (!isResponseToThisRequest(head)) {
+            // The connection carries the response to another request, or bytes that no server sent.
+            // Neither may reach the caller, and whether the request ran is unknown.
             mExchange.cancel();
             end(
                     SendOutcome.UNKNOWN,
-                    "answer of status "
+                    "response with status "
                             + head.headers().status().code()
-                            + " for "
-                            + head.requestId().orElse("no request"));
+                            + " for request id "
+                            + head.requestId().orElse("none"));
         } else {
-            mAnswer.head(head);
+            mResponse.head(head);
             if (!mRequest.route().kind().streams()) {
-                answered();
+                responseStarted();
             }
-            mExchange.more();
+            mExchange.requestMore();
         }
     }
 
     @Override
     public void data(HttpData data) {
         if (mRequest.route().kind().streams() && mHead.success()) {
-            answered();
-            waitFor((long) (mRequest.route().silenceMillis() * STREAM_PAUSE_SHARE));
+            responseStarted();
+            restartSilenceTimeout((long) (mRequest.route().silenceMillis() * STREAM_SILENCE_SHARE));
         }
-        if (mHead.success() || !mAnswer.isForwarding()) {
-            mAnswer.data(data, mRelay.clock().millis(), this::more);
+        if (mHead.success() || !mResponse.isForwarding()) {
+            mResponse.data(data, mRelay.clock().millis(), this::requestMore);
         } else {
-            mExchange.more();
+            mExchange.requestMore();
         }
     }
 
@@ -200,7 +210,7 @@
     public void failed(SendOutcome outcome, Throwable cause) {
         if (mayHaveBeenStale(outcome) && mRelay.budget().tryTake(mRequest.service())) {
             mConnection = Connection.NEW;
-            mSentOnceMore.run();
+            mBeforeResend.run();
             open();
         } else {
             end(outcome, String.valueOf(cause));
@@ -210,70 +220,79 @@
     /**
      * Returns whether the connection may have been closed before the request was written to it.
      *
-     * <p>Safeguard: servers drop idle connections, some without notice, and what is written next
-     * meets a reset. Counted as the server's failure, a healthy server would be left out. A new
-     * connection shows which it was; only requests that may be repeated are sent so.
+     * <p>Safeguard: servers close idle connections, some without notice, and the next write meets a
+     * reset. Counted as a failure of the server, it would eject a healthy one. A new connection
+     * shows which case it was; only requests that may be repeated are sent that way.
      */
     private boolean mayHaveBeenStale(SendOutcome outcome) {
-        return mConnection == Connection.KEPT && mHead == null && outcome == SendOutcome.UNKNOWN;
+        return mConnection == Connection.POOLED && mHead == null && outcome == SendOutcome.UNKNOWN;
     }
 
-    private void more() {
+    private void requestMore() {
         if (mLoop.inEventLoop()) {
-            mExchange.more();
+            mExchange.requestMore();
         } else {
-            mLoop.execute(mExchange::more);
+            mLoop.execute(mExchange::requestMore);
         }
     }
 
-    private boolean ownAnswer(BackendResponse head) {
-        boolean named = head.requestId().map(mRequest.caller().id()::equals).orElse(false);
-        boolean misleading = PROMISES.contains(head.headers().status());
-        return named && head.signed() && !misleading;
+    private boolean isResponseToThisRequest(BackendResponse head) {
+        boolean idMatches = head.requestId().map(mRequest.caller().id()::equals).orElse(false);
+        boolean misleading = NOT_RUN_STATUSES.contains(head.headers().status());
+        return idMatches && head.signed() && !misleading;
     }
 
-    private void answered() {
-        if (mFlowing) {
+    private void responseStarted() {
+        if (mResponseStarted) {
             return;
         }
-        mFlowing = true;
+        mResponseStarted = true;
         long now = mRelay.clock().millis();
-        mPatience.ifPresent(timer -> timer.cancel(false));
-        mRelay.board().answered(target(), explainedSize(), now - mStartMillis, now);
-        if (!mPromptRead) {
-            mPromptRead = true;
+        mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
+        mRelay.board().answered(target(), latencySize(), now - mStartMillis, now);
+        if (!mPrefilled) {
+            mPrefilled = true;
             mRelay.board().promptRead(target(), mRequest.caller().size());
         }
     }
 
-    private WorkSize explainedSize() {
-        return mPromptRead ? WorkSize.PLAIN : mRequest.caller().size();
+    private WorkSize latencySize() {
+        return mPrefilled ? WorkSize.PLAIN : mRequest.caller().size();
     }
 
-    private long patienceMillis() {
-        double targets = mRequest.route().targetMillis() * PATIENCE_TARGETS;
-        return (long) Math.min(targets, mCall.remainingMillis() * PATIENCE_SHARE);
+    private long silenceTimeoutMillis() {
+        double targets = mRequest.route().targetMillis() * SILENCE_TIMEOUT_TARGETS;
+        return (long) Math.min(targets, mCall.remainingMillis() * SILENCE_TIMEOUT_SHARE);
     }
 
-    /** Gives a server up after a silence, where the request may be sent to another one. */
-    private void waitFor(long millis) {
-        mPatience.ifPresent(timer -> timer.cancel(false));
-        mPatience =
-                mOthersLeft
+    /**
+     * Restarts the timer after which a silent server is abandoned, if another one may run the
+     * request.
+     */
+    private void restartSilenceTimeout(long millis) {
+        mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
+        mSilenceTimeout =
+                mRetriableElsewhere
                         ? Optional.of(
-                                mLoop.schedule(() -> silent(millis), millis, TimeUnit.MILLISECONDS))
+                                mLoop.schedule(
+                                        () -> silenceTimedOut(millis),
+                                        millis,
+                                        TimeUnit.MILLISECONDS))
                         : Optional.empty();
     }
 
-    private void silent(long millis) {
+    private void silenceTimedOut(long millis) {
         if (!mEnded) {
-            SendOutcome outcome = silence(mExchange.cancel());
+            SendOutcome outcome = silentIfConnected(mExchange.cancel());
             end(outcome, "silent for " + millis + " ms");
         }
     }
 
-    /** A connection that was had, and on which nothing came, is no broken one. */
-    private static SendOutcome silence(SendOutcome cancelled) {
+    /**
+     * Returns {@link SendOutcome#SILENT} for an open connection without data, which is not a broken
+     * one.
+     */
+    private static SendOutcome silentIfConnected(SendOutcome cancelled) {
         return cancelled == SendOutcome.UNKNOWN ? SendOutcome.SILENT : cancelled;
     }
 
@@ -287,13 +306,13 @@
 
     private void close(SendOutcome outcome, String cause) {
         mEnded = true;
-        mPatience.ifPresent(timer -> timer.cancel(false));
+        mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
         boolean ejected =
                 mRelay.board()
                         .ended(
                                 target(),
                                 mRequest.caller().size(),
-                                mPromptRead,
+                                mPrefilled,
                                 outcome,
                                 mRelay.clock().millis());
         if (ejected) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendExchange.java
@@ -22,9 +22,9 @@
 import org.reactivestreams.Subscription;
 
 /**
- * One request to one backend server over a connection of its own.
+ * Sends one request to one backend server and reports the response to a listener.
  *
- * <p>Everything happens on one event loop. After {@link #cancel} the listener hears nothing more
+ * <p>All methods run on one event loop. After {@link #cancel} the listener receives no more calls
  * and the connection is closed, which ends the run at the server.
  */
 final class BackendExchange implements Subscriber<HttpObject> {
@@ -35,8 +35,8 @@
     private final HttpResponse mResponse;
     private final EventLoop mLoop;
     private Subscription mSubscription;
-    private boolean mHeadSeen;
-    private boolean mEndsWithConnection;
+    private boolean mHeadReceived;
+    private boolean mEndsWithClose;
     private boolean mClosed;
 
     private BackendExchange(
@@ -53,16 +53,16 @@
     }
 
     /**
-     * Sends a request; {@link #listen} begins to tell of its answer.
+     * Sends a request. The response is not delivered before {@link #subscribe} is called.
      *
-     * <p>Safeguard: a server can answer before this method returns. Told at once, the listener
-     * would meet an answer to an exchange that it does not hold yet, fail on it, and blame the
-     * server. So that nothing is told before its owner has stored it, listening is a step of its
-     * own.
+     * <p>Safeguard: a server can respond before this method returns. If the listener were notified
+     * at once, it would receive a response to an exchange that it has not stored yet, fail, and
+     * attribute the failure to the server. Subscribing is therefore a separate step, taken after
+     * the exchange is stored.
      *
-     * @param client of the backend server
-     * @param headers as the server is to see them
-     * @param body the whole body
+     * @param client client for the backend server
+     * @param headers headers to send
+     * @param body complete body
      * @param loop event loop on which the listener is called
      */
     static BackendExchange send(
@@ -80,22 +80,23 @@
         }
     }
 
-    /** Begins to tell the listener of the answer. */
-    void listen() {
+    /** Starts delivering the response to the listener. */
+    void subscribe() {
         mResponse.subscribe(this, mLoop);
     }
 
-    /** Asks for the next piece of the body. */
-    void more() {
+    /** Requests the next part of the body. */
+    void requestMore() {
         if (!mClosed && mSubscription != null) {
             mSubscription.request(1);
         }
     }
 
     /**
-     * Ends the exchange and closes its connection.
+     * Cancels the exchange and closes its connection.
      *
-     * @return how far it had come
+     * @return {@link SendOutcome#UNKNOWN} if a connection was open, else {@link
+     *     SendOutcome#NOT_SENT}
      */
     SendOutcome cancel() {
         boolean connected = mContext.log().partial().channel() != null;
@@ -128,13 +129,13 @@
         boolean interim =
                 object instanceof ResponseHeaders head
                         && head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        if (object instanceof ResponseHeaders head && !interim && !mHeadSeen) {
-            mHeadSeen = true;
-            mEndsWithConnection = !head.contains(HttpHeaderNames.CONTENT_LENGTH);
+        if (object instanceof ResponseHeaders head && !interim && !mHeadReceived) {
+            mHeadReceived = true;
+            mEndsWithClose = !head.contains(HttpHeaderNames.CONTENT_LENGTH);
             mListener.head(mMessages.response(head));
         }
-        // Interim answers and trailers say nothing that is forwarded.
-        more();
+        // Interim responses and trailers are not forwarded.
+        requestMore();
     }
 
     @Override
@@ -153,7 +154,7 @@
             return;
         }
         mClosed = true;
-        if (mEndsWithConnection && ResetWatch.broken(mContext)) {
+        if (mEndsWithClose && ResetWatch.broken(mContext)) {
             mListener.failed(SendOutcome.UNKNOWN, ClosedSessionException.get());
         } else {
             mListener.complete();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerConnection.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerConnection.java
@@ -6,10 +6,10 @@
 /**
  * Watches the connection of one caller while its request is in flight.
  *
- * <p>Safeguard: the HTTP library reports a caller that has gone through the answer's stream, but
- * only a second after its connection has closed. For that second the request would go on, take a
- * place at an engine and have its prompt read for nobody; the closing of the connection itself is
- * seen at once.
+ * <p>Safeguard: the HTTP library reports a disconnected caller through the response stream, but
+ * only a second after the connection was closed. In that second the request would go on, reserve
+ * engine memory and have its prompt prefilled although nobody waits. The close of the channel
+ * itself is reported at once.
  */
 final class CallerConnection implements AutoCloseable {
 
@@ -23,14 +23,14 @@
     }
 
     /** Runs {@code work} once when the connection closes, unless this watch was closed before. */
-    void whenGone(Runnable work) {
+    void onDisconnect(Runnable work) {
         if (!mClosed) {
             mListener = future -> work.run();
             mChannel.closeFuture().addListener(mListener);
         }
     }
 
-    /** Ends the watch: the connection may carry more requests. */
+    /** Ends the watch; the connection may carry further requests. */
     @Override
     public void close() {
         mClosed = true;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerAnswer.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerResponse.java
@@ -13,32 +13,33 @@
 import org.cyclamenpaddle.relay.wire.BackendResponse;
 
 /**
- * The one answer that a caller gets, put together from what backend servers send.
+ * Assembles the single response to a caller from the responses of one or more backend servers.
  *
- * <p>Nothing reaches the caller before there is something that it can use: the whole of a short
- * answer, or the first event of a stream. Until then a failed send leaves no trace and another one
- * can take its place.
+ * <p>Nothing is written to the caller until there is usable content: {@link #MAX_BUFFERED_BYTES} or
+ * the end of a plain response, or the first event of a stream. Until then a failed attempt leaves
+ * no trace and another one can replace it.
  */
-final class CallerAnswer {
+final class CallerResponse {
 
     /**
-     * Bytes of a plain answer that are held back at most; longer ones are forwarded as they come.
+     * Maximum number of bytes of a plain response that are buffered; longer ones are forwarded as
+     * they arrive.
      */
-    private static final int HELD_BYTES = 64 << 10;
+    private static final int MAX_BUFFERED_BYTES = 64 << 10;
 
     private final HttpResponseWriter mWriter;
     private final RetryAfter mRetryAfter;
     private final RetryPolicy mRetryPolicy;
     private final boolean mStreams;
     private final EventTail mTail;
-    private final ByteArrayOutputStream mHeld = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream mBuffer = new ByteArrayOutputStream();
     private BackendResponse mHead;
     private long mFirstMillis = -1;
     private long mLastMillis = -1;
-    private long mPauseMillis;
+    private long mMaxPauseMillis;
     private int mStatus;
 
-    CallerAnswer(
+    CallerResponse(
             HttpResponseWriter writer,
             RelayRequest request,
             RetryAfter retryAfter,
@@ -50,7 +51,10 @@
         mTail = new EventTail(request.caller().resumeAfter());
     }
 
-    /** Takes the head of a backend server's answer that may become the caller's. */
+    /**
+     * Accepts the head of a backend server's response, unless a response is already being
+     * forwarded.
+     */
     void head(BackendResponse head) {
         if (!mRetryPolicy.isForwarding()) {
             mHead = head;
@@ -58,13 +62,13 @@
     }
 
     /**
-     * Takes a piece of the body.
+     * Accepts body data.
      *
-     * @param next run when there is room for the next piece
+     * @param next run when more data can be accepted
      */
     void data(HttpData data, long nowMillis, Runnable next) {
-        byte[] ready = ready(data.array());
-        if (ready.length == 0) {
+        byte[] forwarded = bytesToForward(data.array());
+        if (forwarded.length == 0) {
             next.run();
             return;
         }
@@ -72,60 +76,60 @@
             mFirstMillis = nowMillis;
             mLastMillis = nowMillis;
         }
-        mPauseMillis = Math.max(mPauseMillis, nowMillis - mLastMillis);
+        mMaxPauseMillis = Math.max(mMaxPauseMillis, nowMillis - mLastMillis);
         mLastMillis = nowMillis;
         writeHead();
-        if (mWriter.tryWrite(HttpData.wrap(ready))) {
+        if (mWriter.tryWrite(HttpData.wrap(forwarded))) {
             mWriter.whenConsumed().thenRun(next);
         }
     }
 
-    /** Forgets what came of an answer that another one takes the place of. */
-    void dropUnfinished() {
+    /** Discards the incomplete part of a response that another one replaces. */
+    void discardPartial() {
         mTail.dropRest();
-        mHeld.reset();
+        mBuffer.reset();
     }
 
-    /** Ends the answer as complete. */
+    /** Completes the response. */
     void finish() {
         writeHead();
-        byte[] rest = mStreams ? mTail.takeRest() : mHeld.toByteArray();
+        byte[] rest = mStreams ? mTail.takeRest() : mBuffer.toByteArray();
         if (rest.length > 0) {
             mWriter.tryWrite(HttpData.wrap(rest));
         }
         mWriter.close();
     }
 
-    /** Ends the answer so that it cannot be taken for a complete one. */
-    void cut() {
+    /** Aborts the response so that the caller cannot mistake it for a complete one. */
+    void abort() {
         mWriter.close(AbortedStreamException.get());
     }
 
     /**
-     * Answers without any backend server's answer.
+     * Responds on behalf of the relay, without a backend server's response.
      *
-     * @param reply what the caller is told
-     * @param leastMillis least time after which it may come back, if it may
+     * @param reply outcome reported to the caller
+     * @param minDelayMillis minimum time after which the caller may retry, if it may
      */
-    void refuse(CallerReply reply, long leastMillis) {
+    void refuse(CallerReply reply, long minDelayMillis) {
         mStatus = reply.status();
-        OptionalLong comeBack =
-                reply.comeBack() ? OptionalLong.of(leastMillis) : OptionalLong.empty();
-        mWriter.tryWrite(mRetryAfter.refusal(mStatus, comeBack));
+        OptionalLong retryAfter =
+                reply.comeBack() ? OptionalLong.of(minDelayMillis) : OptionalLong.empty();
+        mWriter.tryWrite(mRetryAfter.refusal(mStatus, retryAfter));
         mWriter.close();
     }
 
-    /** Returns the id of the last whole event that the caller was given or already had. */
+    /** Returns the id of the last complete event that the caller was sent or already had. */
     Optional<String> lastEventId() {
         return mTail.lastId();
     }
 
-    /** Returns the longest pause within the answer. */
-    long pauseMillis() {
-        return mPauseMillis;
+    /** Returns the longest pause within the response. */
+    long maxPauseMillis() {
+        return mMaxPauseMillis;
     }
 
-    /** Returns the whole events of a stream that the caller was given. */
+    /** Returns the number of complete stream events sent to the caller. */
     long events() {
         return mTail.events();
     }
@@ -138,25 +142,25 @@
         return mStatus;
     }
 
-    /** Returns how long the first byte took, or -1. */
+    /** Returns the time until the first byte in milliseconds; -1 before it. */
     long firstMillis(long startMillis) {
         return mFirstMillis < 0 ? -1 : mFirstMillis - startMillis;
     }
 
-    private byte[] ready(byte[] bytes) {
+    private byte[] bytesToForward(byte[] bytes) {
         if (mStreams) {
             return mTail.offer(bytes);
         }
         if (mRetryPolicy.isForwarding()) {
             return bytes;
         }
-        mHeld.writeBytes(bytes);
-        if (mHeld.size() < HELD_BYTES) {
+        mBuffer.writeBytes(bytes);
+        if (mBuffer.size() < MAX_BUFFERED_BYTES) {
             return new byte[0];
         }
-        byte[] held = mHeld.toByteArray();
-        mHeld.reset();
-        return held;
+        byte[] buffered = mBuffer.toByteArray();
+        mBuffer.reset();
+        return buffered;
     }
 
     private void writeHead() {
@@ -164,8 +168,8 @@
             return;
         }
         mRetryPolicy.forwarding();
-        ResponseHeaders headers = ConnectionHeaders.without(mHead.headers());
+        ResponseHeaders headers = HopByHopHeaders.strip(mHead.headers());
         mStatus = headers.status().code();
-        mWriter.tryWrite(mRetryAfter.whileStopping(headers.toBuilder()).build());
+        mWriter.tryWrite(mRetryAfter.closeIfStopping(headers.toBuilder()).build());
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/DrainState.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/DrainState.java
@@ -1,19 +1,20 @@
 package org.cyclamenpaddle.relay.front;
 
-/** What the front has to know of a planned stop. */
+/** State of a planned stop, as far as admission depends on it. */
 public interface DrainState {
 
     /** Returns whether the host is in a planned stop. */
     boolean isStopping();
 
     /**
-     * Returns whether a request that arrives now is still taken.
+     * Returns whether a request that arrives now is accepted.
      *
-     * <p>Safeguard: a balancer that has no better host goes on sending, and callers keep their
-     * connections. A generation that begins late in the grace is cut off by its end; it is refused
-     * while its caller can still go elsewhere. Calls are short and are taken for longer.
+     * <p>Safeguard: a load balancer without a better host keeps sending requests, and callers keep
+     * their connections open. A generation that starts late in the grace period would be cut off at
+     * its end, so it is refused while its caller can still go to another host. Plain calls are
+     * short and are accepted for longer.
      *
-     * @param streams whether its answer is a stream
+     * @param streams whether the response is a stream
      */
     boolean accepts(boolean streams);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ExchangeListener.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ExchangeListener.java
@@ -4,23 +4,23 @@
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 import org.cyclamenpaddle.relay.wire.BackendResponse;
 
-/** Told how an exchange with a backend server goes, on the event loop that it was opened on. */
+/** Receives the events of an exchange with a backend server, on the event loop of the exchange. */
 interface ExchangeListener {
 
-    /** Called with the head of the answer. */
-    void head(BackendResponse answer);
+    /** Called with the head of the response. */
+    void head(BackendResponse response);
 
-    /** Called with a piece of the body; the next one comes after {@link BackendExchange#more}. */
+    /** Called with a part of the body; the next one follows {@link BackendExchange#requestMore}. */
     void data(HttpData data);
 
-    /** Called once when the answer ended as its framing promised. */
+    /** Called once when the response is complete according to its framing. */
     void complete();
 
     /**
-     * Called once when no whole answer will come.
+     * Called once when the response will not be completed.
      *
      * @param outcome {@link SendOutcome#NOT_SENT} or {@link SendOutcome#UNKNOWN}
-     * @param cause why, for logs
+     * @param cause failure, for logs
      */
     void failed(SendOutcome outcome, Throwable cause);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -17,19 +17,23 @@
 import org.cyclamenpaddle.routing.reservation.ReservationWait;
 
 /**
- * Works out the room that must be free at an engine beside a request's place, so that the request
- * and all others there can grow.
+ * Computes the free memory that an engine needs beyond a request's reservation so that this request
+ * and all others on it can grow.
  *
- * <p>A host sees only its own part of an engine's work; the engine's report names all of it.
- * Reports are read where a place was kept, so that full engines cost one call each.
+ * <p>A host sees only its own share of an engine's load, whereas the engine's report covers all of
+ * it. Reports are fetched only after a reservation was granted, so that a full engine costs a
+ * single call.
  */
 final class GrowthCapacity {
 
-    /** Longest wait for a report, in milliseconds. */
-    private static final long CALL_MILLIS = 200;
+    /** Timeout of a report call, in milliseconds. */
+    private static final long REPORT_TIMEOUT_MILLIS = 200;
 
-    /** Age of a report at its arrival, in milliseconds: engines say some hundred. */
-    private static final long BORN_OLD_MILLIS = 500;
+    /**
+     * Assumed age of a report on arrival, in milliseconds; engines report with a lag of some
+     * hundred milliseconds.
+     */
+    private static final long REPORT_DELAY_MILLIS = 500;
 
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
@@ -42,65 +46,68 @@
     }
 
     /**
-     * Tells the tokens that must be free at an engine, on the event loop.
+     * Computes the number of tokens that must be free on an engine.
      *
-     * @param engine the engine
-     * @param wait the search's wait, which decides about room for other requests
-     * @param done told the tokens; nothing if the engine cannot take the request
+     * @param engine engine to examine
+     * @param wait wait of the search, which determines the memory to leave for other requests
+     * @param done called on the event loop with the number of tokens; empty if the engine cannot
+     *     take the request
      */
-    void beside(Backend engine, ReservationWait wait, Consumer<OptionalLong> done) {
+    void requiredTokens(Backend engine, ReservationWait wait, Consumer<OptionalLong> done) {
         if (mRelay.board().reportDue(engine, mRelay.clock().millis())) {
-            call(engine, () -> done.accept(besideNow(engine, wait)));
+            fetchReport(engine, () -> done.accept(requiredTokensNow(engine, wait)));
         } else {
-            done.accept(besideNow(engine, wait));
+            done.accept(requiredTokensNow(engine, wait));
         }
     }
 
-    private OptionalLong besideNow(Backend engine, ReservationWait wait) {
+    private OptionalLong requiredTokensNow(Backend engine, ReservationWait wait) {
         long now = mRelay.clock().millis();
         EngineShape shape = mRequest.engine().orElseThrow();
         WorkSize size = mRequest.caller().size();
         TimedReport none = new TimedReport(new EngineReport(0, false, List.of()), now);
         TimedReport report = mRelay.board().report(engine, now).orElse(none);
-        OptionalLong room =
+        OptionalLong growth =
                 mRelay.demand()
                         .room(
                                 mRequest.service(),
                                 shape,
                                 report.report().work(shape.eventTokens()),
-                                report.ageMillis(now) + BORN_OLD_MILLIS,
+                                report.ageMillis(now) + REPORT_DELAY_MILLIS,
                                 size);
-        long left = wait.tokensLeft(now, size.memoryTokens(), usualTokens());
-        return room.isPresent() ? OptionalLong.of(room.getAsLong() + left) : room;
+        long reserved = wait.tokensLeft(now, size.memoryTokens(), averageTokens());
+        return growth.isPresent() ? OptionalLong.of(growth.getAsLong() + reserved) : growth;
     }
 
-    private OptionalLong usualTokens() {
+    private OptionalLong averageTokens() {
         return mRelay.demand().of(mRequest.service()).stream()
-                .mapToLong(usual -> Math.round(usual.promptTokens() + usual.outputTokens()))
+                .mapToLong(average -> Math.round(average.promptTokens() + average.outputTokens()))
                 .findFirst();
     }
 
-    private void call(Backend engine, Runnable done) {
+    private void fetchReport(Backend engine, Runnable done) {
         mRelay.connections()
                 .keptClient(engine.address(), engine.port())
                 .execute(
                         HttpRequest.of(mRelay.engineMessages().report(engine)),
-                        RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
+                        RequestOptions.builder()
+                                .responseTimeoutMillis(REPORT_TIMEOUT_MILLIS)
+                                .build())
                 .aggregate()
                 .whenCompleteAsync(
-                        (answer, failure) -> {
-                            take(engine, answer, failure);
+                        (response, failure) -> {
+                            handleReport(engine, response, failure);
                             done.run();
                         },
                         mLoop);
     }
 
-    private void take(Backend engine, AggregatedHttpResponse answer, Throwable failure) {
+    private void handleReport(Backend engine, AggregatedHttpResponse response, Throwable failure) {
         Either<String, EngineReport> report =
                 failure == null
-                        ? mRelay.engineMessages().report(answer)
+                        ? mRelay.engineMessages().report(response)
                         : Either.left(String.valueOf(failure));
-        report.peek(told -> mRelay.board().reported(engine, told, mRelay.clock().millis()))
+        report.peek(decoded -> mRelay.board().reported(engine, decoded, mRelay.clock().millis()))
                 .peekLeft(cause -> mRelay.log().log(RelayEvent.REPORT_FAILED, engine.id(), cause));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ConnectionHeaders.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/HopByHopHeaders.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Drops the headers that concern one connection only and must not be forwarded. */
-final class ConnectionHeaders {
+/** Removes hop-by-hop headers, which must not be forwarded. */
+final class HopByHopHeaders {
 
-    private static final List<CharSequence> ALWAYS =
+    private static final List<CharSequence> HOP_BY_HOP =
             List.of(
                     HttpHeaderNames.CONNECTION,
                     HttpHeaderNames.KEEP_ALIVE,
@@ -27,27 +27,27 @@
                     HttpHeaderNames.HTTP2_SETTINGS,
                     HttpHeaderNames.EXPECT);
 
-    private ConnectionHeaders() {}
+    private HopByHopHeaders() {}
 
-    static RequestHeaders without(RequestHeaders headers) {
-        RequestHeadersBuilder rest = headers.toBuilder();
-        dropped(headers).forEach(rest::remove);
-        return rest.build();
+    static RequestHeaders strip(RequestHeaders headers) {
+        RequestHeadersBuilder forwarded = headers.toBuilder();
+        hopByHop(headers).forEach(forwarded::remove);
+        return forwarded.build();
     }
 
-    static ResponseHeaders without(ResponseHeaders headers) {
-        ResponseHeadersBuilder rest = headers.toBuilder();
-        dropped(headers).forEach(rest::remove);
-        return rest.build();
+    static ResponseHeaders strip(ResponseHeaders headers) {
+        ResponseHeadersBuilder forwarded = headers.toBuilder();
+        hopByHop(headers).forEach(forwarded::remove);
+        return forwarded.build();
     }
 
-    /** A connection header names further ones that hold for its connection only. */
-    private static Stream<CharSequence> dropped(HttpHeaders headers) {
+    /** The {@code Connection} header names further hop-by-hop headers. */
+    private static Stream<CharSequence> hopByHop(HttpHeaders headers) {
         Stream<CharSequence> named =
                 headers.getAll(HttpHeaderNames.CONNECTION).stream()
                         .flatMap(value -> Arrays.stream(value.split(",")))
                         .<CharSequence>map(String::strip)
                         .filter(name -> name.length() > 0 && name.charAt(0) != ':');
-        return Stream.concat(ALWAYS.stream(), named);
+        return Stream.concat(HOP_BY_HOP.stream(), named);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -15,94 +15,100 @@
 import org.cyclamenpaddle.relay.wire.BackendResponse;
 import org.cyclamenpaddle.relay.wire.PromptHandle;
 
-/** Has one prompt read by a prefill engine; a failure here never means that the request ran. */
+/**
+ * Runs the prefill of one prompt on a prefill engine. A failure here never means that the request
+ * ran.
+ */
 final class PrefillExchange implements ExchangeListener {
 
     /**
-     * Share of a bearable silence for which an engine is waited for that answers nothing.
+     * Share of the route's silence limit after which a prefill on an engine that responds to no
+     * request times out.
      *
-     * <p>Safeguard: an engine that went dark would hold the request until its timeout. Given up
-     * sooner, prompts that merely queue would be read once more, at decode engines, where they
-     * break the streams of all that run there. After it, reading at the runner still ends before
-     * the caller leaves.
+     * <p>Safeguard: an engine that has become unreachable would hold the request until its timeout.
+     * With a smaller share, prompts that are merely queued would be prefilled a second time on
+     * decode engines, where that interrupts the streams running there. With this share, prefill on
+     * the decode engine still ends before the caller disconnects.
      */
-    private static final double SILENT_SHARE = 0.25;
+    private static final double SILENCE_TIMEOUT_SHARE = 0.25;
 
     /**
-     * Share of a bearable silence for which an engine is waited for that goes on answering others.
+     * Share of the route's silence limit after which a prefill on an engine that responds to other
+     * requests times out.
      *
-     * <p>Safeguard: after a loss of power all hosts bring their callers at once, and prompts queue
-     * for a second at engines that are well. Given up, what was read of them is lost, and they are
-     * read once more where they delay generations.
+     * <p>Safeguard: after a power loss all hosts forward their callers' requests at once, and
+     * prompts queue for a second on healthy engines. A time-out would waste the prefill done so far
+     * and repeat it on decode engines, where it delays generations.
      */
-    private static final double QUEUE_SHARE = 0.6;
+    private static final double QUEUE_TIMEOUT_SHARE = 0.6;
 
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
-    private final Backend mReader;
+    private final Backend mEngine;
     private final Consumer<Optional<PromptHandle>> mDone;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private final long mStartMillis;
     private EventLoop mLoop;
-    private long mLeftMillis;
-    private boolean mKept;
-    private ScheduledFuture<?> mPatience;
+    private long mRemainingMillis;
+    private boolean mPooled;
+    private ScheduledFuture<?> mSilenceTimeout;
     private BackendExchange mExchange;
-    private BackendResponse mAnswer;
+    private BackendResponse mResponse;
     private boolean mEnded;
     private boolean mRejected;
 
     /**
-     * Creates a reading.
+     * Creates the exchange.
      *
-     * @param done told the handle, or nothing if the prompt was not read; not after a cancel
+     * @param done called with the handle, or empty if the prefill failed; not called after a cancel
      */
     PrefillExchange(
             RelayContext relay,
             RelayRequest request,
-            Backend reader,
+            Backend engine,
             Consumer<Optional<PromptHandle>> done) {
         mRelay = relay;
         mRequest = request;
-        mReader = reader;
+        mEngine = engine;
         mDone = done;
         mStartMillis = relay.clock().millis();
     }
 
-    void start(EventLoop loop, long leftMillis) {
+    void start(EventLoop loop, long remainingMillis) {
         mLoop = loop;
-        mLeftMillis = leftMillis;
-        mPatience = loop.schedule(this::tooLong, patienceMillis(), TimeUnit.MILLISECONDS);
+        mRemainingMillis = remainingMillis;
+        mSilenceTimeout =
+                loop.schedule(this::silenceTimedOut, silenceTimeoutMillis(), TimeUnit.MILLISECONDS);
         open(true);
     }
 
-    private void open(boolean kept) {
-        mKept = kept;
+    private void open(boolean pooled) {
+        mPooled = pooled;
         BackendCall call =
                 new BackendCall(
-                        mReader,
-                        mLeftMillis,
+                        mEngine,
+                        mRemainingMillis,
                         true,
                         Optional.empty(),
                         Optional.empty(),
                         Optional.empty());
         mExchange =
                 BackendExchange.send(
-                        mRelay.connections().client(mReader.address(), mReader.port(), kept),
+                        mRelay.connections().client(mEngine.address(), mEngine.port(), pooled),
                         mRelay.backendMessages().request(mRequest.caller(), call),
                         mRequest.body(),
                         mRelay.backendMessages(),
                         mLoop,
                         this);
-        mExchange.listen();
+        mExchange.subscribe();
     }
 
-    /** Returns whether the engine answered that it did not take the prompt. */
+    /** Returns whether the engine rejected the prompt. */
     boolean rejected() {
         return mRejected;
     }
 
-    /** Ends the reading because the request has ended. */
+    /** Cancels the prefill because the request has ended. */
     void cancel() {
         if (!mEnded) {
             mExchange.cancel();
@@ -111,15 +117,15 @@
     }
 
     @Override
-    public void head(BackendResponse answer) {
-        mAnswer = answer;
-        mExchange.more();
+    public void head(BackendResponse response) {
+        mResponse = response;
+        mExchange.requestMore();
     }
 
     @Override
     public void data(HttpData data) {
         mBody.writeBytes(data.array());
-        mExchange.more();
+        mExchange.requestMore();
     }
 
     @Override
@@ -127,28 +133,30 @@
         if (mEnded) {
             return;
         }
-        if (mAnswer.notRun() || !mAnswer.success()) {
+        if (mResponse.notRun() || !mResponse.success()) {
             mRejected = true;
             fail(
-                    mAnswer.misdirected() ? SendOutcome.MISDIRECTED : SendOutcome.REJECTED,
-                    "status " + mAnswer.headers().status().code());
+                    mResponse.misdirected() ? SendOutcome.MISDIRECTED : SendOutcome.REJECTED,
+                    "status " + mResponse.headers().status().code());
             return;
         }
-        if (!mAnswer.requestId().map(mRequest.caller().id()::equals).orElse(false)) {
-            // On a kept connection this may be a late second answer to the request before: its
-            // handle would make this request go on from another one's prompt.
+        if (!mResponse.requestId().map(mRequest.caller().id()::equals).orElse(false)) {
+            // On a pooled connection this may be a late second response to the previous request.
+            // Its handle would make this request continue from the prompt of another one.
             mExchange.cancel();
-            fail(SendOutcome.UNKNOWN, "answer for " + mAnswer.requestId().orElse("no request"));
+            fail(
+                    SendOutcome.UNKNOWN,
+                    "response for request id " + mResponse.requestId().orElse("none"));
             return;
         }
         Either<String, PromptHandle> handle =
-                mRelay.engineMessages().promptHandle(mReader, mBody.toByteArray());
+                mRelay.engineMessages().promptHandle(mEngine, mBody.toByteArray());
         if (handle.isLeft()) {
             fail(SendOutcome.UNKNOWN, handle.getLeft());
             return;
         }
         long now = mRelay.clock().millis();
-        mRelay.board().answered(mReader, mRequest.caller().size(), now - mStartMillis, now);
+        mRelay.board().answered(mEngine, mRequest.caller().size(), now - mStartMillis, now);
         end(SendOutcome.SUCCEEDED);
         mDone.accept(Optional.of(handle.get()));
     }
@@ -158,8 +166,8 @@
         if (mEnded) {
             return;
         }
-        if (mKept && mAnswer == null && outcome == SendOutcome.UNKNOWN) {
-            // A kept connection may have been closed while it was idle. The reading may be
+        if (mPooled && mResponse == null && outcome == SendOutcome.UNKNOWN) {
+            // A pooled connection may have been closed while it was idle. A prefill may be
             // repeated.
             open(false);
         } else {
@@ -167,22 +175,25 @@
         }
     }
 
-    private long patienceMillis() {
-        return (long) (mRequest.route().silenceMillis() * SILENT_SHARE);
+    private long silenceTimeoutMillis() {
+        return (long) (mRequest.route().silenceMillis() * SILENCE_TIMEOUT_SHARE);
     }
 
-    private void tooLong() {
+    private void silenceTimedOut() {
         if (mEnded) {
             return;
         }
         long now = mRelay.clock().millis();
-        long patience = patienceMillis();
-        long most = (long) (mRequest.route().silenceMillis() * QUEUE_SHARE);
-        long left = mStartMillis + most - now;
-        boolean queued = mRelay.board().answeredSince(mReader, mStartMillis);
-        if (queued && left > 0) {
-            mPatience =
-                    mLoop.schedule(this::tooLong, Math.min(patience, left), TimeUnit.MILLISECONDS);
+        long timeoutMillis = silenceTimeoutMillis();
+        long maxMillis = (long) (mRequest.route().silenceMillis() * QUEUE_TIMEOUT_SHARE);
+        long remainingMillis = mStartMillis + maxMillis - now;
+        boolean engineResponds = mRelay.board().answeredSince(mEngine, mStartMillis);
+        if (engineResponds && remainingMillis > 0) {
+            mSilenceTimeout =
+                    mLoop.schedule(
+                            this::silenceTimedOut,
+                            Math.min(timeoutMillis, remainingMillis),
+                            TimeUnit.MILLISECONDS);
         } else {
             mExchange.cancel();
             fail(SendOutcome.UNKNOWN, "no answer in " + (now - mStartMillis) + " ms");
@@ -194,7 +205,7 @@
         mRelay.log().log(
                 RelayEvent.PREFILL_FAILED,
                 mRequest.caller().id(),
-                mReader.id(),
+                mEngine.id(),
                 outcome,
                 cause,
                 mRelay.clock().millis() - mStartMillis);
@@ -203,8 +214,8 @@
 
     private void end(SendOutcome outcome) {
         mEnded = true;
-        mPatience.cancel(false);
+        mSilenceTimeout.cancel(false);
         long now = mRelay.clock().millis();
-        mRelay.board().ended(mReader, mRequest.caller().size(), false, outcome, now);
+        mRelay.board().ended(mEngine, mRequest.caller().size(), false, outcome, now);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -13,19 +13,19 @@
 import org.cyclamenpaddle.routing.reservation.ReturningClients;
 
 /**
- * What the exchanges of all requests share.
+ * Dependencies shared by the exchanges of all requests.
  *
- * @param board backend servers
- * @param budget repeats
- * @param demand of generations
- * @param returningClients how long callers wait, by route
- * @param connections to backend servers
- * @param backendMessages how callers' requests are sent on
- * @param engineMessages how engines are spoken to about their memory
- * @param log decision lines
+ * @param board state of the backend servers
+ * @param budget retry budget
+ * @param demand measured demand of generations
+ * @param returningClients how long callers wait and whether they retry, by route
+ * @param connections connections to backend servers
+ * @param backendMessages codec of requests to backend servers
+ * @param engineMessages codec of calls about engine memory
+ * @param log decision log
  * @param metrics counters
- * @param clock this host's clock
- * @param random even draws from 0 to 1
+ * @param clock monotonic clock of this host
+ * @param random source of uniform numbers from 0 to 1
  */
 public record RelayContext(
         BackendBoard board,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
@@ -11,14 +11,14 @@
 import org.cyclamenpaddle.routing.reservation.ClientRetryDelay;
 
 /**
- * A request on its way, with what its configuration says of it.
+ * A request with the configuration that applies to it.
  *
- * @param caller what the caller sent
- * @param body its whole body
- * @param route its route
- * @param service the one of the route's services that it goes to
- * @param engine shape of that service's engines; empty for a plain service
- * @param version configuration that all this is taken from
+ * @param caller request as decoded from the caller
+ * @param body complete body
+ * @param route matching route
+ * @param service the route's service that was selected
+ * @param engine engine shape of that service; empty for a plain service
+ * @param version version of the configuration used
  */
 record RelayRequest(
         CallerRequest caller,
@@ -28,15 +28,18 @@
         Optional<EngineShape> engine,
         long version) {
 
-    /** Share of a call's target after which it may come back: about another call's work. */
-    private static final double CALL_SHARE = 0.5;
+    /**
+     * Share of a plain route's target latency that is its retry delay: about the time until a call
+     * in flight completes.
+     */
+    private static final double RETRY_TARGET_SHARE = 0.5;
 
-    /** Returns the least time after which a refused request should come back. */
-    long comeBackMillis(DemandMeter demand) {
+    /** Returns the minimum retry delay of a refused request, in milliseconds. */
+    long minRetryDelayMillis(DemandMeter demand) {
         if (engine.isEmpty()) {
-            return Math.max(1, (long) (route.targetMillis() * CALL_SHARE));
+            return Math.max(1, (long) (route.targetMillis() * RETRY_TARGET_SHARE));
         }
-        double usualMillis = demand.of(service).map(Demand::decodeMillis).orElse(0.0);
-        return ClientRetryDelay.leastMillis(usualMillis, route.terms());
+        double averageMillis = demand.of(service).map(Demand::decodeMillis).orElse(0.0);
+        return ClientRetryDelay.leastMillis(averageMillis, route.terms());
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
@@ -19,13 +19,13 @@
 import org.cyclamenpaddle.relay.wire.CallerMessages;
 import org.cyclamenpaddle.relay.wire.CallerRequest;
 
-/** Takes callers' requests, finds their routes and starts their runs. */
+/** Receives callers' requests, finds their routes and starts their exchanges. */
 public final class RelayService implements HttpService {
 
     private final RelayContext mRelay;
     private final CallerMessages mMessages;
     private final ConfigurationCell mConfiguration;
-    private final DrainState mStopping;
+    private final DrainState mDrainState;
     private final StartupGate mStartupGate;
     private final RetryAfter mRetryAfter;
     private final AtomicInteger mInFlight = new AtomicInteger();
@@ -33,27 +33,27 @@
     /**
      * Creates the service.
      *
-     * @param relay what all runs share
-     * @param messages decodes requests
-     * @param configuration routes
-     * @param stopping whether the host is in a planned stop
-     * @param startWait until what is needed to decide requests is known
+     * @param relay dependencies shared by all exchanges
+     * @param messages decoder of requests
+     * @param configuration configuration in force
+     * @param drainState state of a planned stop
+     * @param startupGate delays requests until the data needed to route them is known
      */
     public RelayService(
             RelayContext relay,
             CallerMessages messages,
             ConfigurationCell configuration,
-            DrainState stopping,
-            StartupGate startWait) {
-        mStopping = stopping;
-        mStartupGate = startWait;
+            DrainState drainState,
+            StartupGate startupGate) {
+        mDrainState = drainState;
+        mStartupGate = startupGate;
         mRelay = relay;
         mMessages = messages;
         mConfiguration = configuration;
-        mRetryAfter = new RetryAfter(relay.random(), stopping::isStopping);
+        mRetryAfter = new RetryAfter(relay.random(), drainState::isStopping);
     }
 
-    /** Returns the requests that have not ended yet. */
+    /** Returns the number of requests in flight. */
     public int inFlight() {
         return mInFlight.get();
     }
@@ -61,16 +61,16 @@
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
         if (mStartupGate.isOpen()) {
-            return take(context, request);
+            return dispatch(context, request);
         }
         return HttpResponse.of(
                 mStartupGate
                         .whenOpen()
-                        .thenApplyAsync(over -> take(context, request), context.eventLoop()));
+                        .thenApplyAsync(opened -> dispatch(context, request), context.eventLoop()));
     }
 
-    private HttpResponse take(ServiceRequestContext context, HttpRequest request) {
-        RequestHeaders headers = ConnectionHeaders.without(request.headers());
+    private HttpResponse dispatch(ServiceRequestContext context, HttpRequest request) {
+        RequestHeaders headers = HopByHopHeaders.strip(request.headers());
         Optional<RelayConfiguration> configuration = mConfiguration.inForce();
         if (configuration.isEmpty()) {
             return refuse(headers, HttpStatus.SERVICE_UNAVAILABLE, "no configuration yet");
@@ -78,8 +78,8 @@
         String authority = authority(headers);
         Optional<Route> route = configuration.get().find(authority, headers.path());
         if (route.isEmpty()) {
-            // A host that the store does not answer may lack the newest routes: it must not say
-            // that there is no such path, for the caller would believe it and not come again.
+            // A host that has lost the store may lack the newest routes. It must not respond 404:
+            // the caller would take that as final and not retry.
             return mConfiguration.confirmed()
                     ? refuse(headers, HttpStatus.NOT_FOUND, "no such route")
                     : refuse(headers, HttpStatus.SERVICE_UNAVAILABLE, "routes may be outdated");
@@ -88,7 +88,7 @@
         if (caller.isLeft()) {
             return refuse(headers, HttpStatus.BAD_REQUEST, caller.getLeft());
         }
-        if (!mStopping.accepts(route.get().kind().streams())) {
+        if (!mDrainState.accepts(route.get().kind().streams())) {
             return refuse(headers, HttpStatus.SERVICE_UNAVAILABLE, "host is stopping");
         }
         return run(context, request, configuration.get(), route.get(), caller.get());
@@ -104,11 +104,12 @@
         mInFlight.incrementAndGet();
         request.aggregate(context.eventLoop())
                 .handle(
-                        (whole, failure) -> {
+                        (aggregated, failure) -> {
                             if (failure == null) {
-                                start(context, whole, configuration, route, caller, writer);
+                                start(context, aggregated, configuration, route, caller, writer);
                             } else {
-                                // The caller left, or sent too much, before its request was whole.
+                                // The caller disconnected, or its body was too large, before the
+                                // request was complete.
                                 mInFlight.decrementAndGet();
                                 writer.close(failure);
                             }
@@ -119,7 +120,7 @@
 
     private void start(
             ServiceRequestContext context,
-            AggregatedHttpRequest whole,
+            AggregatedHttpRequest aggregated,
             RelayConfiguration configuration,
             Route route,
             CallerRequest caller,
@@ -128,14 +129,14 @@
         RelayRequest relayed =
                 new RelayRequest(
                         caller,
-                        whole.content(),
+                        aggregated.content(),
                         route,
                         service,
                         configuration.engine(service),
                         configuration.version());
         Channel connection = context.log().partial().channel();
         CallerConnection watch = new CallerConnection(connection);
-        RequestExchange run =
+        RequestExchange exchange =
                 new RequestExchange(
                         mRelay,
                         relayed,
@@ -150,12 +151,12 @@
                 .whenCompleteAsync(
                         (done, failure) -> {
                             if (failure != null) {
-                                run.callerGone();
+                                exchange.callerDisconnected();
                             }
                         },
                         context.eventLoop());
-        run.start();
-        watch.whenGone(run::callerGone);
+        exchange.start();
+        watch.onDisconnect(exchange::callerDisconnected);
     }
 
     private static String authority(RequestHeaders headers) {
@@ -171,8 +172,10 @@
                 status.code(),
                 reason,
                 mConfiguration.version());
-        boolean comeBack = status.equals(HttpStatus.SERVICE_UNAVAILABLE);
+        boolean retryLater = status.equals(HttpStatus.SERVICE_UNAVAILABLE);
         return HttpResponse.of(
-                comeBack ? mRetryAfter.notYet(status.code()) : mRetryAfter.refusal(status.code()));
+                retryLater
+                        ? mRetryAfter.retryLater(status.code())
+                        : mRetryAfter.refusal(status.code()));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -21,8 +21,8 @@
 import org.cyclamenpaddle.relay.wire.PromptHandle;
 
 /**
- * Carries one request from its arrival to its end: reserves an engine, sends it, ends it exactly
- * once.
+ * Manages one request from its arrival to its end: reserves engine memory, forwards the request,
+ * retries it and completes it exactly once.
  *
  * <p>All methods run on the event loop of the caller's connection.
  */
@@ -31,22 +31,22 @@
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
     private final EventLoop mLoop;
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final Runnable mOnEnd;
     private final RetryPolicy mRetryPolicy;
     private final RequestLog mRequestLog;
     private final long mStartMillis;
     private final Set<BackendId> mTried = new HashSet<>();
-    private ScheduledFuture<?> mGiveUp;
-    private Optional<ReservationSearch> mPlaces = Optional.empty();
-    private Optional<ReservationSearch.Place> mPlace = Optional.empty();
-    private Optional<PrefillExchange> mReading = Optional.empty();
-    private Optional<BackendAttempt> mSend = Optional.empty();
-    private Optional<Backend> mLast = Optional.empty();
-    private Optional<Backend> mReader = Optional.empty();
-    private Optional<Backend> mLostReader = Optional.empty();
-    private long mPlaceMillis = -1;
-    private boolean mAsking;
+    private ScheduledFuture<?> mTimeout;
+    private Optional<ReservationSearch> mSearch = Optional.empty();
+    private Optional<ReservationSearch.Placement> mPlacement = Optional.empty();
+    private Optional<PrefillExchange> mPrefill = Optional.empty();
+    private Optional<BackendAttempt> mAttempt = Optional.empty();
+    private Optional<Backend> mLastBackend = Optional.empty();
+    private Optional<Backend> mPrefillEngine = Optional.empty();
+    private Optional<Backend> mFailedPrefillEngine = Optional.empty();
+    private long mPlacementMillis = -1;
+    private boolean mReserving;
     private boolean mEnded;
 
     RequestExchange(
@@ -61,10 +61,11 @@
         mLoop = loop;
         mOnEnd = onEnd;
         mStartMillis = relay.clock().millis();
-        long callerMillis = request.caller().callerTimeoutMillis().orElse(Long.MAX_VALUE);
-        mRetryPolicy = new RetryPolicy(RetryTerms.of(request.route(), callerMillis), mStartMillis);
-        mAnswer = new CallerAnswer(writer, request, retryAfter, mRetryPolicy);
-        mRequestLog = new RequestLog(relay, request, mRetryPolicy, mAnswer, mStartMillis);
+        long callerTimeoutMillis = request.caller().callerTimeoutMillis().orElse(Long.MAX_VALUE);
+        mRetryPolicy =
+                new RetryPolicy(RetryTerms.of(request.route(), callerTimeoutMillis), mStartMillis);
+        mResponse = new CallerResponse(writer, request, retryAfter, mRetryPolicy);
+        mRequestLog = new RequestLog(relay, request, mRetryPolicy, mResponse, mStartMillis);
     }
 
     void start() {
@@ -72,245 +73,260 @@
         if (mRequest.engine().isPresent()) {
             mRelay.demand().begun(mRequest.service(), mRequest.caller().size());
         }
-        long left = mRetryPolicy.leftMillis(mStartMillis);
-        mGiveUp = mLoop.schedule(this::giveUp, left, TimeUnit.MILLISECONDS);
-        place();
+        long remainingMillis = mRetryPolicy.leftMillis(mStartMillis);
+        mTimeout = mLoop.schedule(this::timeOut, remainingMillis, TimeUnit.MILLISECONDS);
+        selectBackend();
     }
 
-    /** The caller's connection has gone, or its stream was cancelled. */
-    void callerGone() {
+    /** Handles a closed caller connection or a cancelled response stream. */
+    void callerDisconnected() {
         if (mEnded) {
             return;
         }
-        mSend.ifPresent(BackendAttempt::cancel);
+        mAttempt.ifPresent(BackendAttempt::cancel);
         mRelay.metrics().callerGone();
-        mRequestLog.callerGone(mLast);
+        mRequestLog.callerDisconnected(mLastBackend);
         end();
     }
 
-    private void place() {
+    private void selectBackend() {
         if (mRequest.engine().isPresent()) {
-            ReservationSearch places =
-                    new ReservationSearch(mRelay, mRequest, mLoop, mTried, this::placeFound);
-            mPlaces = Optional.of(places);
-            places.find();
+            ReservationSearch search =
+                    new ReservationSearch(mRelay, mRequest, mLoop, mTried, this::placementFound);
+            mSearch = Optional.of(search);
+            search.find();
             return;
         }
-        Optional<Backend> runner =
+        Optional<Backend> backend =
                 mRelay.board()
                         .place(
                                 mRequest.service(),
                                 mRequest.caller().size(),
                                 mTried,
                                 mRelay.clock().millis());
-        if (runner.isEmpty()) {
-            reply(SendOutcome.NOT_SENT, "no backend server can be reached");
+        if (backend.isEmpty()) {
+            fail(SendOutcome.NOT_SENT, "no backend server available");
         } else {
-            send(new ReservationSearch.Place(runner.get(), Optional.empty()), Optional.empty());
+            send(
+                    new ReservationSearch.Placement(backend.get(), Optional.empty()),
+                    Optional.empty());
         }
     }
 
-    private void placeFound(Optional<ReservationSearch.Place> found) {
-        mPlaces = Optional.empty();
+    private void placementFound(Optional<ReservationSearch.Placement> found) {
+        mSearch = Optional.empty();
         if (found.isEmpty()) {
-            reply(SendOutcome.NOT_SENT, "no engine has room");
+            fail(SendOutcome.NOT_SENT, "no engine has room");
             return;
         }
         long now = mRelay.clock().millis();
-        mPlaceMillis = now - mStartMillis;
-        ReservationSearch.Place place = found.get();
-        mReader = mRelay.board().reader(place.runner(), mRequest.caller().size(), now);
-        if (mReader.isEmpty()) {
-            send(place, Optional.empty());
+        mPlacementMillis = now - mStartMillis;
+        ReservationSearch.Placement placement = found.get();
+        mPrefillEngine = mRelay.board().reader(placement.backend(), mRequest.caller().size(), now);
+        if (mPrefillEngine.isEmpty()) {
+            send(placement, Optional.empty());
             return;
         }
-        PrefillExchange reading =
+        PrefillExchange prefill =
                 new PrefillExchange(
-                        mRelay, mRequest, mReader.get(), handle -> promptRead(place, handle));
-        mReading = Optional.of(reading);
-        mPlace = Optional.of(place);
-        reading.start(mLoop, mRetryPolicy.leftMillis(now));
+                        mRelay,
+                        mRequest,
+                        mPrefillEngine.get(),
+                        handle -> prefillEnded(placement, handle));
+        mPrefill = Optional.of(prefill);
+        mPlacement = Optional.of(placement);
+        prefill.start(mLoop, mRetryPolicy.leftMillis(now));
     }
 
-    private void promptRead(ReservationSearch.Place place, Optional<PromptHandle> handle) {
-        boolean rejected = mReading.map(PrefillExchange::rejected).orElse(false);
-        mReading = Optional.empty();
+    private void prefillEnded(
+            ReservationSearch.Placement placement, Optional<PromptHandle> handle) {
+        boolean rejected = mPrefill.map(PrefillExchange::rejected).orElse(false);
+        mPrefill = Optional.empty();
         if (rejected && !takeRetry()) {
-            giveBack(place);
-            reply(SendOutcome.NOT_SENT, "prefill engine full, retry budget empty");
+            cancelPlacement(placement);
+            fail(SendOutcome.NOT_SENT, "prefill engine full, retry budget empty");
             return;
         }
-        send(place, handle);
+        send(placement, handle);
     }
 
-    /** Frees the place of a request that ends before it was sent. */
-    private void giveBack(ReservationSearch.Place place) {
-        place.reservation().ifPresent(name -> ReserveCall.cancel(mRelay, place.runner(), name));
-        release(place.runner());
+    /** Cancels the placement of a request that ends before it was sent. */
+    private void cancelPlacement(ReservationSearch.Placement placement) {
+        placement
+                .reservation()
+                .ifPresent(name -> ReserveCall.cancel(mRelay, placement.backend(), name));
+        release(placement.backend());
     }
 
-    private void release(Backend runner) {
+    private void release(Backend backend) {
         mRelay.board()
                 .ended(
-                        runner,
+                        backend,
                         mRequest.caller().size(),
                         true,
                         SendOutcome.ABANDONED,
                         mRelay.clock().millis());
     }
 
-    private void send(ReservationSearch.Place place, Optional<PromptHandle> prompt) {
-        Backend runner = place.runner();
-        mTried.add(runner.id());
-        mLast = Optional.of(runner);
+    private void send(ReservationSearch.Placement placement, Optional<PromptHandle> prompt) {
+        Backend backend = placement.backend();
+        mTried.add(backend.id());
+        mLastBackend = Optional.of(backend);
         mRetryPolicy.sending();
-        open(place, prompt);
+        open(placement, prompt);
     }
 
-    private void open(ReservationSearch.Place place, Optional<PromptHandle> prompt) {
-        Backend runner = place.runner();
+    private void open(ReservationSearch.Placement placement, Optional<PromptHandle> prompt) {
+        Backend backend = placement.backend();
         BackendCall call =
                 new BackendCall(
-                        runner,
+                        backend,
                         mRetryPolicy.leftMillis(mRelay.clock().millis()),
                         false,
                         prompt,
-                        place.reservation(),
-                        mAnswer.lastEventId());
-        boolean othersLeft = mRequest.route().repeatable() && mRetryPolicy.mayGoOn();
-        BackendAttempt send =
+                        placement.reservation(),
+                        mResponse.lastEventId());
+        boolean retriableElsewhere = mRequest.route().repeatable() && mRetryPolicy.mayGoOn();
+        BackendAttempt attempt =
                 new BackendAttempt(
                         mRelay,
                         mRequest,
                         call,
-                        mAnswer,
+                        mResponse,
                         new BackendAttempt.Terms(
-                                mReader.isPresent(),
-                                othersLeft,
-                                connection(place),
+                                mPrefillEngine.isPresent(),
+                                retriableElsewhere,
+                                connection(placement),
                                 mRetryPolicy::sentOnceMore),
-                        this::sendEnded);
-        mSend = Optional.of(send);
-        send.start(mLoop);
+                        this::attemptEnded);
+        mAttempt = Optional.of(attempt);
+        attempt.start(mLoop);
     }
 
-    private BackendAttempt.Connection connection(ReservationSearch.Place place) {
-        if (place.reservation().isPresent()) {
-            return BackendAttempt.Connection.PROVEN;
+    private BackendAttempt.Connection connection(ReservationSearch.Placement placement) {
+        if (placement.reservation().isPresent()) {
+            return BackendAttempt.Connection.RECENTLY_USED;
         }
         return mRequest.route().kind() == RouteKind.IDEMPOTENT
-                ? BackendAttempt.Connection.KEPT
+                ? BackendAttempt.Connection.POOLED
                 : BackendAttempt.Connection.NEW;
     }
 
-    private void sendEnded(SendOutcome outcome, String cause) {
-        BackendAttempt send = mSend.orElseThrow();
-        mSend = Optional.empty();
-        freeUnused(send, outcome);
-        if (outcome == SendOutcome.REJECTED && send.prompt().isEmpty()) {
-            turnedAway(send.target());
+    private void attemptEnded(SendOutcome outcome, String cause) {
+        BackendAttempt attempt = mAttempt.orElseThrow();
+        mAttempt = Optional.empty();
+        releaseUnusedPrompt(attempt, outcome);
+        if (outcome == SendOutcome.REJECTED && attempt.prompt().isEmpty()) {
+            rejectedDespiteReservation(attempt.target());
         }
-        if (outcome == SendOutcome.REJECTED && send.prompt().isPresent()) {
-            promptLost(send, cause);
-        } else if (outcome == SendOutcome.UNKNOWN && mayGoOnHere()) {
-            goOnHere(send, cause);
+        if (outcome == SendOutcome.REJECTED && attempt.prompt().isPresent()) {
+            prefillResultLost(attempt, cause);
+        } else if (outcome == SendOutcome.UNKNOWN && mayResumeOnSameEngine()) {
+            resumeOnSameEngine(attempt, cause);
         } else {
-            next(send, outcome, cause);
+            retryOrFail(attempt, outcome, cause);
         }
     }
 
     /**
-     * An engine has turned a request away that it had kept a place for.
+     * Handles an engine that rejected a request despite granting a reservation for it.
      *
-     * <p>Where it did so twice, the prompt engine's result was not what it lacked.
+     * <p>If the engine rejected it twice, the prefill result was not the cause, so the prefill
+     * engine is marked as available again.
      */
-    private void turnedAway(Backend target) {
+    private void rejectedDespiteReservation(Backend target) {
         if (mRequest.engine().isPresent()) {
             mRelay.board().outdated(target, mRelay.clock().millis());
-            mLostReader.ifPresent(mRelay.board()::alive);
+            mFailedPrefillEngine.ifPresent(mRelay.board()::alive);
         }
     }
 
-    private boolean mayGoOnHere() {
+    private boolean mayResumeOnSameEngine() {
         return mRequest.engine().isPresent() && mRetryPolicy.mayGoOnHere(mRelay.clock().millis());
     }
 
     /**
-     * Lets a stream whose connection broke go on at the engine that ran it, if that still has room.
+     * Resumes a stream whose connection broke on the engine that ran it, if that engine grants a
+     * reservation.
      *
-     * <p>An engine whose answer was lost on the way still has the prompt in its memory. Elsewhere
-     * it would be read again, with a pause longer than callers accept. An engine that has crashed
-     * refuses the ask at once, and the stream goes on elsewhere as before.
+     * <p>An engine whose response was lost in transit still holds the prompt's KV cache. Any other
+     * engine would have to prefill the prompt again, which takes longer than callers accept. An
+     * engine that has crashed refuses the call at once, and the stream then resumes on another one.
      */
-    private void goOnHere(BackendAttempt send, String cause) {
-        mAsking = true;
-        ReserveCall.send(
+    private void resumeOnSameEngine(BackendAttempt attempt, String cause) {
+        mReserving = true;
+        ReserveCall.reserve(
                 mRelay,
                 mRequest,
                 mLoop,
-                send.target(),
-                answer -> {
-                    mAsking = false;
+                attempt.target(),
+                result -> {
+                    mReserving = false;
                     if (mEnded) {
-                        answer.reservation()
-                                .ifPresent(name -> ReserveCall.cancel(mRelay, send.target(), name));
-                    } else if (answer.kept() && mRetryPolicy.goingOnHere(this::takeRetry)) {
-                        mRequestLog.sendEnded(
-                                send, SendOutcome.UNKNOWN, cause, RetryDecision.SEND_AGAIN);
-                        openHere(send, answer.reservation());
+                        result.reservation()
+                                .ifPresent(
+                                        name -> ReserveCall.cancel(mRelay, attempt.target(), name));
+                    } else if (result.granted() && mRetryPolicy.goingOnHere(this::takeRetry)) {
+                        mRequestLog.attemptEnded(
+                                attempt, SendOutcome.UNKNOWN, cause, RetryDecision.SEND_AGAIN);
+                        openOnSameEngine(attempt, result.reservation());
                     } else {
-                        answer.reservation()
-                                .ifPresent(name -> ReserveCall.cancel(mRelay, send.target(), name));
-                        next(send, SendOutcome.UNKNOWN, cause);
+                        result.reservation()
+                                .ifPresent(
+                                        name -> ReserveCall.cancel(mRelay, attempt.target(), name));
+                        retryOrFail(attempt, SendOutcome.UNKNOWN, cause);
                     }
                 });
     }
 
-    private void openHere(BackendAttempt send, Optional<String> reservation) {
+    private void openOnSameEngine(BackendAttempt attempt, Optional<String> reservation) {
         mRelay.metrics().retried(SendOutcome.UNKNOWN);
-        mAnswer.dropUnfinished();
-        mReader = Optional.empty();
-        mRelay.board().alive(send.target());
-        mRelay.board().placeAgain(send.target(), mRequest.caller().size());
-        open(new ReservationSearch.Place(send.target(), reservation), Optional.empty());
+        mResponse.discardPartial();
+        mPrefillEngine = Optional.empty();
+        mRelay.board().alive(attempt.target());
+        mRelay.board().placeAgain(attempt.target(), mRequest.caller().size());
+        open(new ReservationSearch.Placement(attempt.target(), reservation), Optional.empty());
     }
 
     /**
-     * The engine has a place for the request, but could not get the prompt that was read elsewhere.
+     * Handles a decode engine that has memory for the request but could not fetch the prefilled
+     * prompt.
      *
-     * <p>Safeguard: a prefill engine whose results vanish at once would make every request fail
-     * that it reads for. The prompt is read in place, and the prefill engine is left out for a
-     * time.
+     * <p>Safeguard: a prefill engine whose results expire at once would fail every request that it
+     * prefills for. The decode engine therefore runs the prefill itself, and the prefill engine is
+     * ejected for a time.
      */
-    private void promptLost(BackendAttempt send, String cause) {
+    private void prefillResultLost(BackendAttempt attempt, String cause) {
         long now = mRelay.clock().millis();
-        mLostReader = mReader;
-        mLostReader.ifPresent(reader -> mRelay.board().resultLost(reader, now));
-        mReader = Optional.empty();
+        mFailedPrefillEngine = mPrefillEngine;
+        mFailedPrefillEngine.ifPresent(
+                prefillEngine -> mRelay.board().resultLost(prefillEngine, now));
+        mPrefillEngine = Optional.empty();
         boolean again = mRetryPolicy.sendingHereAgain(now, this::takeRetry);
         if (!again) {
-            next(send, SendOutcome.REJECTED, cause);
+            retryOrFail(attempt, SendOutcome.REJECTED, cause);
             return;
         }
-        mRequestLog.sendEnded(send, SendOutcome.REJECTED, cause, RetryDecision.SEND_AGAIN);
+        mRequestLog.attemptEnded(attempt, SendOutcome.REJECTED, cause, RetryDecision.SEND_AGAIN);
         mRelay.metrics().retried(SendOutcome.REJECTED);
-        mRelay.board().placeAgain(send.target(), mRequest.caller().size());
-        open(new ReservationSearch.Place(send.target(), Optional.empty()), Optional.empty());
+        mRelay.board().placeAgain(attempt.target(), mRequest.caller().size());
+        open(new ReservationSearch.Placement(attempt.target(), Optional.empty()), Optional.empty());
     }
 
-    private void next(BackendAttempt send, SendOutcome outcome, String cause) {
-        RetryDecision next = mRetryPolicy.ended(outcome, mRelay.clock().millis(), this::takeRetry);
-        if (next == RetryDecision.PASS_ON) {
-            passOn();
+    private void retryOrFail(BackendAttempt attempt, SendOutcome outcome, String cause) {
+        RetryDecision decision =
+                mRetryPolicy.ended(outcome, mRelay.clock().millis(), this::takeRetry);
+        if (decision == RetryDecision.PASS_ON) {
+            complete();
             return;
         }
-        mRequestLog.sendEnded(send, outcome, cause, next);
-        if (next == RetryDecision.SEND_AGAIN) {
+        mRequestLog.attemptEnded(attempt, outcome, cause, decision);
+        if (decision == RetryDecision.SEND_AGAIN) {
             mRelay.metrics().retried(outcome);
-            mAnswer.dropUnfinished();
-            place();
+            mResponse.discardPartial();
+            selectBackend();
         } else {
-            reply(outcome, cause);
+            fail(outcome, cause);
         }
     }
 
@@ -318,55 +334,59 @@
         return mRelay.budget().tryTake(mRequest.service());
     }
 
-    /** Frees a prompt that was read for a server that did not take it. */
-    private void freeUnused(BackendAttempt send, SendOutcome outcome) {
+    /** Releases the prefilled prompt if the backend server did not fetch it. */
+    private void releaseUnusedPrompt(BackendAttempt attempt, SendOutcome outcome) {
         if (!outcome.mayHaveRun()) {
-            mReader.ifPresent(
-                    reader ->
-                            send.prompt()
+            mPrefillEngine.ifPresent(
+                    prefillEngine ->
+                            attempt.prompt()
                                     .map(mRelay.engineMessages()::release)
-                                    .ifPresent(call -> ReserveCall.quietly(mRelay, reader, call)));
+                                    .ifPresent(
+                                            call ->
+                                                    ReserveCall.sendIgnoringFailure(
+                                                            mRelay, prefillEngine, call)));
         }
     }
 
-    private void passOn() {
-        mAnswer.finish();
-        measureDemand();
-        mRelay.metrics().answered(mRequest.route().kind(), mRequestLog.spentMillis());
-        mRequestLog.answered(mLast, mReader, mPlaceMillis);
+    private void complete() {
+        mResponse.finish();
+        recordDemand();
+        mRelay.metrics().answered(mRequest.route().kind(), mRequestLog.elapsedMillis());
+        mRequestLog.completed(mLastBackend, mPrefillEngine, mPlacementMillis);
         end();
     }
 
-    private void measureDemand() {
-        long first = mAnswer.firstMillis(mStartMillis);
-        boolean whole = mRequest.caller().resumeAfter().isEmpty() && mAnswer.status() < 300;
-        if (mRequest.engine().isPresent() && first >= 0 && whole) {
+    private void recordDemand() {
+        long first = mResponse.firstMillis(mStartMillis);
+        boolean complete = mRequest.caller().resumeAfter().isEmpty() && mResponse.status() < 300;
+        if (mRequest.engine().isPresent() && first >= 0 && complete) {
             WorkSize size = mRequest.caller().size();
-            long made = mAnswer.events() * mRequest.engine().get().eventTokens();
+            long outputTokens = mResponse.events() * mRequest.engine().get().eventTokens();
             Demand demand =
-                    new Demand(size.promptTokens(), made, mRequestLog.spentMillis() - first);
+                    new Demand(
+                            size.promptTokens(), outputTokens, mRequestLog.elapsedMillis() - first);
             mRelay.demand().ended(mRequest.service(), size, demand);
         }
     }
 
-    private void giveUp() {
+    private void timeOut() {
         if (mEnded) {
             return;
         }
-        SendOutcome none = mAsking ? SendOutcome.UNKNOWN : SendOutcome.NOT_SENT;
-        SendOutcome outcome = mSend.map(BackendAttempt::giveUp).orElse(none);
-        mSend = Optional.empty();
-        reply(outcome, "no time left");
+        SendOutcome unsent = mReserving ? SendOutcome.UNKNOWN : SendOutcome.NOT_SENT;
+        SendOutcome outcome = mAttempt.map(BackendAttempt::timeOut).orElse(unsent);
+        mAttempt = Optional.empty();
+        fail(outcome, "request timed out");
     }
 
-    /** Ends the request without a whole answer of a backend server. */
-    private void reply(SendOutcome outcome, String reason) {
+    /** Ends the request without a complete response of a backend server. */
+    private void fail(SendOutcome outcome, String reason) {
         CallerReply reply = mRetryPolicy.reply(outcome, mRelay.clock().millis());
         if (mRetryPolicy.isForwarding()) {
-            mAnswer.cut();
-            mRequestLog.cut(mLast, reason);
+            mResponse.abort();
+            mRequestLog.truncated(mLastBackend, reason);
         } else {
-            mAnswer.refuse(reply, mRequest.comeBackMillis(mRelay.demand()));
+            mResponse.refuse(reply, mRequest.minRetryDelayMillis(mRelay.demand()));
             mRequestLog.failed(reply, reason);
         }
         mRelay.metrics().refused(reply);
@@ -375,15 +395,15 @@
 
     private void end() {
         mEnded = true;
-        mGiveUp.cancel(false);
-        if (mReading.isPresent()) {
-            PrefillExchange reading = mReading.get();
-            mReading = Optional.empty();
-            reading.cancel();
-            giveBack(mPlace.orElseThrow());
+        mTimeout.cancel(false);
+        if (mPrefill.isPresent()) {
+            PrefillExchange prefill = mPrefill.get();
+            mPrefill = Optional.empty();
+            prefill.cancel();
+            cancelPlacement(mPlacement.orElseThrow());
         }
-        mPlaces.ifPresent(ReservationSearch::cancel);
-        mPlaces = Optional.empty();
+        mSearch.ifPresent(ReservationSearch::cancel);
+        mSearch = Optional.empty();
         mOnEnd.run();
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestLog.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.relay.retry.RetryDecision;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
 
-/** The log lines of one run: what was decided, by what, and how long it took. */
+/** Writes the log lines of one request: decisions, outcomes and durations. */
 final class RequestLog {
 
     private static final String NONE = "none";
@@ -16,41 +16,42 @@
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
     private final RetryPolicy mRetryPolicy;
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final long mStartMillis;
 
     RequestLog(
             RelayContext relay,
             RelayRequest request,
             RetryPolicy retryPolicy,
-            CallerAnswer answer,
+            CallerResponse response,
             long startMillis) {
         mRelay = relay;
         mRequest = request;
         mRetryPolicy = retryPolicy;
-        mAnswer = answer;
+        mResponse = response;
         mStartMillis = startMillis;
     }
 
-    /** The caller has left before its answer. */
-    void callerGone(Optional<Backend> backend) {
+    /** Logs that the caller disconnected before the response was complete. */
+    void callerDisconnected(Optional<Backend> backend) {
         mRelay.log().log(
                 RelayEvent.CALLER_DISCONNECTED,
                 mRequest.caller().id(),
                 mRequest.route().name(),
                 name(backend),
                 mRetryPolicy.sends(),
-                spentMillis());
+                elapsedMillis());
     }
 
     /**
-     * The caller has its whole answer.
+     * Logs that the caller has received a complete response.
      *
-     * @param backend server that gave it
-     * @param reader engine that read the prompt, if another one did
-     * @param placeMillis time until a place was found; -1 if none was looked for
+     * @param backend server that sent it
+     * @param prefillEngine prefill engine, if the prompt was prefilled separately
+     * @param reservationMillis time until a reservation was granted; -1 if none was needed
      */
-    void answered(Optional<Backend> backend, Optional<Backend> reader, long placeMillis) {
+    void completed(
+            Optional<Backend> backend, Optional<Backend> prefillEngine, long reservationMillis) {
         mRelay.log().log(
                 RelayEvent.REQUEST_ENDED,
                 mRequest.caller().id(),
@@ -59,30 +60,30 @@
                 mRequest.caller().size().promptTokens(),
                 mRequest.caller().size().outputTokens(),
                 name(backend),
-                mAnswer.status(),
+                mResponse.status(),
                 mRetryPolicy.sends(),
-                spentMillis(),
-                mAnswer.firstMillis(mStartMillis),
-                placeMillis,
-                name(reader),
-                mAnswer.events(),
-                mAnswer.pauseMillis());
+                elapsedMillis(),
+                mResponse.firstMillis(mStartMillis),
+                reservationMillis,
+                name(prefillEngine),
+                mResponse.events(),
+                mResponse.maxPauseMillis());
     }
 
-    /** The caller's answer was cut short. */
-    void cut(Optional<Backend> backend, String reason) {
+    /** Logs that the response to the caller was truncated. */
+    void truncated(Optional<Backend> backend, String reason) {
         mRelay.log().log(
                 RelayEvent.RESPONSE_TRUNCATED,
                 mRequest.caller().id(),
                 mRequest.route().name(),
                 name(backend),
                 reason,
-                mAnswer.lastEventId().orElse(NONE),
+                mResponse.lastEventId().orElse(NONE),
                 mRetryPolicy.sends(),
-                spentMillis());
+                elapsedMillis());
     }
 
-    /** The caller was told that it gets no answer. */
+    /** Logs that the request failed before a response was forwarded. */
     void failed(CallerReply reply, String reason) {
         mRelay.log().log(
                 RelayEvent.REQUEST_FAILED,
@@ -92,23 +93,24 @@
                 reply.status(),
                 reason,
                 mRetryPolicy.sends(),
-                spentMillis());
+                elapsedMillis());
     }
 
-    /** A send has ended without an answer for the caller. */
-    void sendEnded(BackendAttempt send, SendOutcome outcome, String cause, RetryDecision next) {
+    /** Logs an attempt that ended without a response for the caller. */
+    void attemptEnded(
+            BackendAttempt attempt, SendOutcome outcome, String cause, RetryDecision next) {
         mRelay.log().log(
                 RelayEvent.ATTEMPT_ENDED,
                 mRequest.caller().id(),
-                send.target().id().value(),
+                attempt.target().id().value(),
                 outcome,
                 cause,
-                send.spentMillis(),
+                attempt.elapsedMillis(),
                 next);
     }
 
-    /** Returns how long the run has taken. */
-    long spentMillis() {
+    /** Returns the time since the request started, in milliseconds. */
+    long elapsedMillis() {
         return mRelay.clock().millis() - mStartMillis;
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -16,27 +16,27 @@
 import org.cyclamenpaddle.routing.reservation.RetryStage;
 
 /**
- * Finds a place at a decode engine for one request, before anything is spent on its prompt.
+ * Finds a decode engine for one request and reserves memory on it before any prefill is started.
  *
- * <p>Each host sees only its own part of an engine's work, so that a prompt read for an engine that
- * looked free was often turned away there, and its reading was lost. The engine itself is asked to
- * keep the memory. When all are full the request goes on asking as {@link ReservationWait} says,
- * and is refused then.
+ * <p>Each host sees only its own share of an engine's load. Without a reservation, a request whose
+ * prompt had been prefilled was often rejected by an engine that appeared to have capacity, and the
+ * prefill was wasted. The engine itself is therefore asked for a reservation. When all engines are
+ * full, the search repeats as {@link ReservationWait} determines, and then fails.
  */
 final class ReservationSearch {
 
-    /** Told the place, or nothing if none was found in time. */
+    /** Notified of the placement; empty if none was found in time. */
     interface Listener {
-        void found(Optional<Place> place);
+        void found(Optional<Placement> placement);
     }
 
     /**
-     * A place at an engine.
+     * Backend server chosen for a request.
      *
-     * @param runner the engine
-     * @param reservation its name there; empty if the engine keeps none
+     * @param backend backend server
+     * @param reservation name of the reservation there; empty if none is needed
      */
-    record Place(Backend runner, Optional<String> reservation) {}
+    record Placement(Backend backend, Optional<String> reservation) {}
 
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
@@ -45,8 +45,8 @@
     private final Listener mListener;
     private final ReservationWait mReservationWait;
     private final ReservePacing mReservePacing = new ReservePacing();
-    private final GrowthCapacity mRoom;
-    private Optional<Backend> mAsked = Optional.empty();
+    private final GrowthCapacity mGrowthCapacity;
+    private Optional<Backend> mPending = Optional.empty();
     private boolean mClosed;
 
     ReservationSearch(
@@ -60,7 +60,7 @@
         mLoop = loop;
         mAvoid = new HashSet<>(avoid);
         mListener = listener;
-        mRoom = new GrowthCapacity(relay, request, loop);
+        mGrowthCapacity = new GrowthCapacity(relay, request, loop);
         long now = relay.clock().millis();
         RetryStage stage = stage(relay, request, !avoid.isEmpty(), now);
         mReservationWait = ReservationWait.begin(now, request.route().terms(), stage);
@@ -68,35 +68,37 @@
 
     private static RetryStage stage(
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
-        OptionalLong waits = request.caller().callerTimeoutMillis();
+        OptionalLong timeout = request.caller().callerTimeoutMillis();
         if (sentBefore) {
             return RetryStage.REPEAT;
         }
         ReservationWait first =
                 ReservationWait.begin(nowMillis, request.route().terms(), RetryStage.FIRST);
-        long spent = first.waitMillis() + request.comeBackMillis(relay.demand());
-        boolean comesBack =
-                waits.isPresent()
+        long delayMillis = first.waitMillis() + request.minRetryDelayMillis(relay.demand());
+        boolean returns =
+                timeout.isPresent()
                         && relay.returningClients()
                                 .read(
                                         callers ->
                                                 callers.comesBack(
                                                         request.route().name(),
-                                                        waits.getAsLong(),
-                                                        spent,
+                                                        timeout.getAsLong(),
+                                                        delayMillis,
                                                         nowMillis));
-        return comesBack ? RetryStage.COME_BACK : RetryStage.FIRST;
+        return returns ? RetryStage.COME_BACK : RetryStage.FIRST;
     }
 
-    /** Asks the best engine that has not just said that it is full, or pauses before it does. */
+    /**
+     * Tries the best engine that has not just reported that it is full, or schedules the next try.
+     */
     void find() {
         long now = mRelay.clock().millis();
-        Optional<Backend> chosen =
+        Optional<Backend> selected =
                 mReservePacing.pauseIsDue()
                         ? Optional.empty()
                         : mRelay.board().place(mRequest.service(), size(), mAvoid, now);
-        if (chosen.isPresent()) {
-            ask(chosen.get());
+        if (selected.isPresent()) {
+            reserve(selected.get());
         } else if (!mReservationWait.mayGoOn(now)) {
             mClosed = true;
             mListener.found(Optional.empty());
@@ -106,11 +108,11 @@
         }
     }
 
-    /** Ends the search because the request has ended. */
+    /** Cancels the search because the request has ended. */
     void cancel() {
         mClosed = true;
-        mAsked.ifPresent(runner -> giveBack(runner, SendOutcome.ABANDONED));
-        mAsked = Optional.empty();
+        mPending.ifPresent(engine -> release(engine, SendOutcome.ABANDONED));
+        mPending = Optional.empty();
     }
 
     private void findAgain() {
@@ -119,73 +121,74 @@
         }
     }
 
-    private void ask(Backend runner) {
-        mAsked = Optional.of(runner);
-        ReserveCall.send(mRelay, mRequest, mLoop, runner, answer -> asked(runner, answer));
+    private void reserve(Backend engine) {
+        mPending = Optional.of(engine);
+        ReserveCall.reserve(mRelay, mRequest, mLoop, engine, result -> reserved(engine, result));
     }
 
-    private void asked(Backend runner, ReserveCall.Answer answer) {
+    private void reserved(Backend engine, ReserveCall.Result result) {
         if (mClosed) {
-            answer.reservation().ifPresent(name -> ReserveCall.cancel(mRelay, runner, name));
-        } else if (answer.kept()) {
-            mRoom.beside(runner, mReservationWait, tokens -> probe(runner, answer, tokens));
+            result.reservation().ifPresent(name -> ReserveCall.cancel(mRelay, engine, name));
+        } else if (result.granted()) {
+            mGrowthCapacity.requiredTokens(
+                    engine, mReservationWait, tokens -> probe(engine, result, tokens));
         } else {
-            turnedAway(runner, answer);
+            rejected(engine, result);
         }
     }
 
-    /** Looks for room to grow beside a place that is kept. */
-    private void probe(Backend runner, ReserveCall.Answer place, OptionalLong tokens) {
+    /** Checks for free memory to grow, beyond a reservation that was granted. */
+    private void probe(Backend engine, ReserveCall.Result granted, OptionalLong tokens) {
         if (mClosed || tokens.isEmpty()) {
-            probed(runner, place, ReserveCall.NO_ROOM);
+            probed(engine, granted, ReserveCall.NO_CAPACITY);
         } else if (tokens.getAsLong() == 0) {
-            probed(runner, place, place);
+            probed(engine, granted, granted);
         } else {
             ReserveCall.probe(
                     mRelay,
                     mRequest,
                     mLoop,
-                    runner,
+                    engine,
                     tokens.getAsLong(),
-                    room -> probed(runner, place, room));
+                    growth -> probed(engine, granted, growth));
         }
     }
 
-    private void probed(Backend runner, ReserveCall.Answer place, ReserveCall.Answer room) {
-        if (mClosed || !room.kept()) {
-            place.reservation().ifPresent(name -> ReserveCall.cancel(mRelay, runner, name));
+    private void probed(Backend engine, ReserveCall.Result granted, ReserveCall.Result growth) {
+        if (mClosed || !growth.granted()) {
+            granted.reservation().ifPresent(name -> ReserveCall.cancel(mRelay, engine, name));
         }
         if (mClosed) {
             return;
         }
-        if (!room.kept()) {
-            turnedAway(runner, room);
+        if (!growth.granted()) {
+            rejected(engine, growth);
             return;
         }
         mClosed = true;
-        mAsked = Optional.empty();
-        mListener.found(Optional.of(new Place(runner, place.reservation())));
+        mPending = Optional.empty();
+        mListener.found(Optional.of(new Placement(engine, granted.reservation())));
     }
 
-    private void turnedAway(Backend runner, ReserveCall.Answer answer) {
-        mAsked = Optional.empty();
-        giveBack(runner, answer.outcome());
-        if (answer.full()) {
-            mRelay.board().full(runner, mRelay.clock().millis());
+    private void rejected(Backend engine, ReserveCall.Result result) {
+        mPending = Optional.empty();
+        release(engine, result.outcome());
+        if (result.full()) {
+            mRelay.board().full(engine, mRelay.clock().millis());
             mReservePacing.turnedAway();
         } else {
-            mAvoid.add(runner.id());
+            mAvoid.add(engine.id());
             mRelay.log().log(
                     RelayEvent.RESERVATION_FAILED,
                     mRequest.caller().id(),
-                    runner.id(),
-                    answer.cause());
+                    engine.id(),
+                    result.cause());
         }
         find();
     }
 
-    private void giveBack(Backend runner, SendOutcome outcome) {
-        mRelay.board().ended(runner, size(), false, outcome, mRelay.clock().millis());
+    private void release(Backend engine, SendOutcome outcome) {
+        mRelay.board().ended(engine, size(), false, outcome, mRelay.clock().millis());
     }
 
     private WorkSize size() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -16,36 +16,37 @@
 import org.cyclamenpaddle.relay.log.RelayEvent;
 
 /**
- * Asks one engine to keep memory for one request.
+ * Reserves memory for one request on one engine.
  *
- * <p>Engines answer from what is free now, which also counts what other hosts have just had.
+ * <p>Engines decide by the memory that is free now, which also accounts for reservations that other
+ * hosts have just made.
  */
 final class ReserveCall {
 
     /**
-     * What the engine said.
+     * Result of a reservation call.
      *
-     * @param reservation name of the place; empty if there is none
-     * @param outcome how the ask ended: {@link SendOutcome#ABANDONED} for an engine that is full,
-     *     which says nothing against it
-     * @param cause in words, where the engine did not answer as it should
+     * @param reservation name of the reservation; empty if there is none
+     * @param outcome outcome of the call: {@link SendOutcome#ABANDONED} for a full engine, which is
+     *     not counted as a failure
+     * @param cause description of an unexpected response; {@code none} otherwise
      */
-    record Answer(Optional<String> reservation, SendOutcome outcome, String cause) {
+    record Result(Optional<String> reservation, SendOutcome outcome, String cause) {
 
-        boolean kept() {
+        boolean granted() {
             return reservation.isPresent();
         }
 
         boolean full() {
-            return !kept() && outcome == SendOutcome.ABANDONED;
+            return !granted() && outcome == SendOutcome.ABANDONED;
         }
     }
 
-    /** What an engine would answer that cannot take the request. */
-    static final Answer NO_ROOM = new Answer(Optional.empty(), SendOutcome.ABANDONED, "none");
+    /** Result that stands for an engine with too little free memory. */
+    static final Result NO_CAPACITY = new Result(Optional.empty(), SendOutcome.ABANDONED, "none");
 
-    /** Longest wait for the answer of an engine, in milliseconds; usual ones take under 10. */
-    private static final long CALL_MILLIS = 300;
+    /** Timeout of a call, in milliseconds; typical calls take under 10. */
+    private static final long CALL_TIMEOUT_MILLIS = 300;
 
     private final RelayContext mRelay;
     private final RelayRequest mRequest;
@@ -59,24 +60,24 @@
         mEngine = engine;
     }
 
-    /** Asks an engine to keep a request's place; {@code done} is told on the event loop. */
-    static void send(
+    /** Reserves memory for a request; {@code done} is called on the event loop. */
+    static void reserve(
             RelayContext relay,
             RelayRequest request,
             EventLoop loop,
             Backend engine,
-            Consumer<Answer> done) {
-        ReserveCall ask = new ReserveCall(relay, request, loop, engine);
+            Consumer<Result> done) {
+        ReserveCall call = new ReserveCall(relay, request, loop, engine);
         long tokens = request.caller().size().memoryTokens();
-        long keptMillis = request.engine().orElseThrow().reserveMillis();
-        ask.keep(tokens, keptMillis, true).thenAcceptAsync(done, loop);
+        long holdMillis = request.engine().orElseThrow().reserveMillis();
+        call.requestReservation(tokens, holdMillis, true).thenAcceptAsync(done, loop);
     }
 
     /**
-     * Asks an engine whether more memory is free, and gives that back at once.
+     * Checks whether an engine has more free memory by a reservation that is cancelled at once.
      *
-     * <p>What is kept stays kept for as long as a request runs, also a part that it never uses; so
-     * the room that it will grow into is not kept with its place.
+     * <p>Memory that is reserved stays reserved for as long as the request runs, also the part that
+     * it never uses. The memory for its growth is therefore checked but not reserved.
      */
     static void probe(
             RelayContext relay,
@@ -84,29 +85,32 @@
             EventLoop loop,
             Backend engine,
             long tokens,
-            Consumer<Answer> done) {
-        ReserveCall ask = new ReserveCall(relay, request, loop, engine);
-        ask.keep(tokens, CALL_MILLIS, true)
+            Consumer<Result> done) {
+        ReserveCall call = new ReserveCall(relay, request, loop, engine);
+        call.requestReservation(tokens, CALL_TIMEOUT_MILLIS, true)
                 .thenAcceptAsync(
-                        answer -> {
-                            answer.reservation().ifPresent(name -> cancel(relay, engine, name));
-                            done.accept(answer);
+                        response -> {
+                            response.reservation().ifPresent(name -> cancel(relay, engine, name));
+                            done.accept(response);
                         },
                         loop);
     }
 
-    /** Gives a kept place back that no request will take. */
+    /** Cancels a reservation that no request will use. */
     static void cancel(RelayContext relay, Backend engine, String reservation) {
-        quietly(relay, engine, relay.engineMessages().cancel(reservation));
+        sendIgnoringFailure(relay, engine, relay.engineMessages().cancel(reservation));
     }
 
-    /** Makes a call whose failure harms nothing, since what it frees lapses by itself. */
-    static void quietly(RelayContext relay, Backend backend, RequestHeaders call) {
+    /**
+     * Makes a call whose failure is only logged, since the memory it frees is released by expiry
+     * anyway.
+     */
+    static void sendIgnoringFailure(RelayContext relay, Backend backend, RequestHeaders call) {
         relay.connections()
                 .keptClient(backend.address(), backend.port())
                 .execute(
                         HttpRequest.of(call),
-                        RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
+                        RequestOptions.builder().responseTimeoutMillis(CALL_TIMEOUT_MILLIS).build())
                 .aggregate()
                 .exceptionally(
                         failure -> {
@@ -115,35 +119,36 @@
                         });
     }
 
-    private CompletableFuture<Answer> keep(long tokens, long millis, boolean keptConnection) {
-        long askedMillis = mRelay.clock().millis();
+    private CompletableFuture<Result> requestReservation(long tokens, long millis, boolean pooled) {
+        long startMillis = mRelay.clock().millis();
         return mRelay.connections()
-                .client(mEngine.address(), mEngine.port(), keptConnection)
+                .client(mEngine.address(), mEngine.port(), pooled)
                 .execute(
                         mRelay.engineMessages().reserve(mEngine, tokens, millis).toHttpRequest(),
-                        RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
+                        RequestOptions.builder().responseTimeoutMillis(CALL_TIMEOUT_MILLIS).build())
                 .aggregate()
                 .handle(
-                        (answer, failure) -> {
-                            long spent = mRelay.clock().millis() - askedMillis;
-                            // A kept connection may have been closed while it was idle.
-                            return keptConnection && failure != null && spent < CALL_MILLIS
-                                    ? keep(tokens, millis, false)
-                                    : CompletableFuture.completedFuture(answer(answer, failure));
+                        (response, failure) -> {
+                            long spent = mRelay.clock().millis() - startMillis;
+                            // A pooled connection may have been closed while it was idle.
+                            return pooled && failure != null && spent < CALL_TIMEOUT_MILLIS
+                                    ? requestReservation(tokens, millis, false)
+                                    : CompletableFuture.completedFuture(result(response, failure));
                         })
                 .thenCompose(Function.identity());
     }
 
-    private Answer answer(AggregatedHttpResponse answer, Throwable failure) {
+    private Result result(AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
-            return new Answer(Optional.empty(), SendOutcome.NOT_SENT, String.valueOf(failure));
+            return new Result(Optional.empty(), SendOutcome.NOT_SENT, String.valueOf(failure));
         }
-        if (answer.status().equals(HttpStatus.MISDIRECTED_REQUEST)) {
-            return new Answer(Optional.empty(), SendOutcome.MISDIRECTED, "another engine");
+        if (response.status().equals(HttpStatus.MISDIRECTED_REQUEST)) {
+            return new Result(
+                    Optional.empty(), SendOutcome.MISDIRECTED, "response of another engine");
         }
-        Either<String, Optional<String>> kept = mRelay.engineMessages().reservation(answer);
-        return kept.fold(
-                problem -> new Answer(Optional.empty(), SendOutcome.NOT_SENT, problem),
-                name -> new Answer(name, SendOutcome.ABANDONED, "none"));
+        Either<String, Optional<String>> decoded = mRelay.engineMessages().reservation(response);
+        return decoded.fold(
+                problem -> new Result(Optional.empty(), SendOutcome.NOT_SENT, problem),
+                name -> new Result(name, SendOutcome.ABANDONED, "none"));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RetryAfter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RetryAfter.java
@@ -9,11 +9,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.DoubleSupplier;
 
-/** When refused callers are asked to come back, and whether kept connections should end. */
+/**
+ * Builds the responses that the relay sends itself, with {@code Retry-After} and {@code Connection}
+ * headers.
+ */
 final class RetryAfter {
 
-    /** Wait before a request comes back whose route is not known, in milliseconds. */
-    private static final long USUAL_MILLIS = 150;
+    /** Retry delay of a request whose route is not known, in milliseconds. */
+    private static final long DEFAULT_RETRY_MILLIS = 150;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -25,38 +28,42 @@
         mStopping = stopping;
     }
 
-    /** Returns the head of an answer that the relay gives itself; its body is empty. */
+    /** Returns the head of a response that the relay sends itself, without a retry delay. */
     ResponseHeaders refusal(int status) {
         return refusal(status, OptionalLong.empty());
     }
 
-    /** Returns the head of a refusal that tells when to come back, of a request without a route. */
-    ResponseHeaders notYet(int status) {
-        return refusal(status, OptionalLong.of(USUAL_MILLIS));
+    /** Returns the head of a refusal with a retry delay, for a request without a route. */
+    ResponseHeaders retryLater(int status) {
+        return refusal(status, OptionalLong.of(DEFAULT_RETRY_MILLIS));
     }
 
     /**
-     * Returns the head of an answer that the relay gives itself; its body is empty.
+     * Returns the head of a response that the relay sends itself; its body is empty.
      *
      * @param status HTTP status
-     * @param leastMillis least time after which the caller should come back; empty for never
+     * @param minMillis minimum time after which the caller may retry; empty if it must not
      */
-    ResponseHeaders refusal(int status, OptionalLong leastMillis) {
+    ResponseHeaders refusal(int status, OptionalLong minMillis) {
         ResponseHeadersBuilder headers =
                 ResponseHeaders.builder(HttpStatus.valueOf(status))
                         .set(HttpHeaderNames.CONTENT_LENGTH, "0");
-        leastMillis.ifPresent(least -> headers.set(HttpHeaderNames.RETRY_AFTER, seconds(least)));
-        return whileStopping(headers).build();
+        minMillis.ifPresent(
+                millis -> headers.set(HttpHeaderNames.RETRY_AFTER, jitteredSeconds(millis)));
+        return closeIfStopping(headers).build();
     }
 
-    /** Returns the wait in seconds, spread so that callers refused together come back apart. */
-    private String seconds(long leastMillis) {
-        double millis = leastMillis * (1 + mRandom.getAsDouble());
+    /**
+     * Returns the retry delay in seconds, with jitter so that callers refused together do not
+     * return together.
+     */
+    private String jitteredSeconds(long minMillis) {
+        double millis = minMillis * (1 + mRandom.getAsDouble());
         return String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND);
     }
 
-    /** Ends the caller's connection with this answer while the host is stopping. */
-    ResponseHeadersBuilder whileStopping(ResponseHeadersBuilder headers) {
+    /** Closes the caller's connection after this response while the host is stopping. */
+    ResponseHeadersBuilder closeIfStopping(ResponseHeadersBuilder headers) {
         if (mStopping.getAsBoolean()) {
             headers.set(HttpHeaderNames.CONNECTION, "close");
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -6,25 +6,28 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.routing.retry.RetryBudget;
 
-/** The part of the deployment's budget of repeats that this host may spend by itself. */
+/** This host's share of the deployment's retry budget. */
 public final class SharedRetryBudget {
 
     /**
-     * Share of the deployment's budget that hosts spend, the rest being left for what is counted
+     * Share of the deployment's budget that hosts use. The rest covers retries that are counted
      * differently at its edges.
      */
-    private static final double SPENT_SHARE = 0.85;
+    private static final double USABLE_SHARE = 0.85;
 
     /**
-     * Hosts among which the slack is divided before they were counted.
+     * Number of hosts among which the slack is divided before the hosts are counted.
      *
-     * <p>So many hosts that start together, and cannot count one another yet, spend no more than
-     * there is.
+     * <p>This many hosts that start together, and cannot count one another yet, stay within the
+     * budget.
      */
-    private static final int UNCOUNTED_HOSTS = 100;
+    private static final int ASSUMED_HOSTS = 100;
 
-    /** Part of a host's slack that can be saved up and spent at once; the rest flows in. */
-    private static final double SAVED_SHARE = 0.7;
+    /**
+     * Share of a host's slack that can accumulate and be spent as a burst; the rest accrues over
+     * the window.
+     */
+    private static final double BURST_SHARE = 0.7;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -37,20 +40,20 @@
     /**
      * Creates a full budget.
      *
-     * @param share repeats for each request, over all hosts
-     * @param slack repeats in a window besides, over all hosts
+     * @param share retries per request, over all hosts
+     * @param slack additional retries per window, over all hosts
      * @param windowMillis length of the window
      * @param clock this host's clock
      */
     public SharedRetryBudget(double share, double slack, long windowMillis, Clock clock) {
-        mShare = share * SPENT_SHARE;
-        mSlack = slack * SPENT_SHARE;
+        mShare = share * USABLE_SHARE;
+        mSlack = slack * USABLE_SHARE;
         mWindowSeconds = windowMillis / MILLIS_PER_SECOND;
         mClock = clock;
-        mBudget = new Table<>(TableOrder.RETRIES, new RetryBudget(settings(UNCOUNTED_HOSTS)));
+        mBudget = new Table<>(TableOrder.RETRIES, new RetryBudget(settings(ASSUMED_HOSTS)));
     }
 
-    /** Divides the slack among so many hosts from now on. */
+    /** Divides the slack among the given number of hosts from now on. */
     public void updateHostCount(int hosts) {
         mBudget.write(budget -> budget.adjust(settings(Math.max(1, hosts))));
     }
@@ -60,15 +63,15 @@
         mBudget.write(budget -> budget.freshRequest(service, mClock.millis()));
     }
 
-    /** Takes one repeat and returns whether there was one. */
+    /** Takes one retry from the budget and returns whether there was one. */
     public boolean tryTake(ServiceName service) {
         return mBudget.read(budget -> budget.tryTake(service, mClock.millis()));
     }
 
     private RetryBudget.Settings settings(int hosts) {
-        double own = mSlack / hosts;
-        double flow = own * (1 - SAVED_SHARE) / mWindowSeconds;
-        // A bound under one could never be spent; the flow alone decides then.
-        return new RetryBudget.Settings(mShare, flow, Math.max(1, own * SAVED_SHARE));
+        double hostSlack = mSlack / hosts;
+        double accrual = hostSlack * (1 - BURST_SHARE) / mWindowSeconds;
+        // A burst limit below 1 could never be spent; the accrual rate alone applies then.
+        return new RetryBudget.Settings(mShare, accrual, Math.max(1, hostSlack * BURST_SHARE));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/StartupGate.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/StartupGate.java
@@ -4,34 +4,34 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Lets requests wait that arrive before this host has read what it needs to decide them.
+ * Delays requests that arrive before this host has the data to route them.
  *
- * <p>A process listens about a tenth of a second before its first listings are there. Callers that
- * were cut off by a power loss knock just then; refused, they would have used up the one time that
- * they come again. They wait while the listings are under way and no longer: as soon as the store
- * fails a call, or after {@link #MAX_WAIT_MILLIS}, they are refused at once as before.
+ * <p>A process listens about a tenth of a second before its first store listings are complete.
+ * Callers that a power loss disconnected retry in just that time; a refusal would use up their only
+ * retry. Requests wait while the listings are in progress and no longer: as soon as a store call
+ * fails, or after {@link #MAX_WAIT_MILLIS}, they are refused at once.
  */
 public final class StartupGate {
 
     /**
-     * Longest wait after the process listens, in milliseconds: several times what the listings take
-     * when all hosts start at once, and half of the second after which callers leave a request that
-     * is not read.
+     * Maximum wait after the process starts to listen, in milliseconds: several times the duration
+     * of the listings when all hosts start at once, and half of the second after which callers
+     * abandon a request that is not read.
      */
     public static final long MAX_WAIT_MILLIS = 500;
 
-    private final CompletableFuture<Void> mOver = new CompletableFuture<>();
+    private final CompletableFuture<Void> mOpen = new CompletableFuture<>();
 
-    /** Ends the wait of all requests, for good. */
+    /** Releases all waiting requests; later ones do not wait. */
     public void open() {
-        mOver.complete(null);
+        mOpen.complete(null);
     }
 
     boolean isOpen() {
-        return mOver.isDone();
+        return mOpen.isDone();
     }
 
     CompletionStage<Void> whenOpen() {
-        return mOver;
+        return mOpen;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP server towards callers and the client towards backend servers. */
+/** HTTP server for callers and HTTP client for backend servers. */
 package org.cyclamenpaddle.relay.front;
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/BackendExchangeTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/BackendExchangeTest.java
@@ -23,10 +23,10 @@
 import org.cyclamenpaddle.relay.wire.CallerRequest;
 import org.testng.annotations.Test;
 
-/** Tests the order of events of one exchange. */
+/** Tests the order of the events of one exchange. */
 public class BackendExchangeTest {
 
-    /** Decodes heads, which is all that an exchange needs. */
+    /** Decodes response heads only, which is all that an exchange needs. */
     private static final class Heads implements BackendMessages {
 
         @Override
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Notes what it is told, in order. */
+    /** Records the calls that it receives, in order. */
     private static final class Events implements ExchangeListener {
 
         private final List<String> mEvents = new ArrayList<>();
@@ -50,13 +50,13 @@
         @Override
         public void head(BackendResponse head) {
             mEvents.add("head");
-            mExchange.more();
+            mExchange.requestMore();
         }
 
         @Override
         public void data(HttpData data) {
             mEvents.add("data");
-            mExchange.more();
+            mExchange.requestMore();
         }
 
         @Override
@@ -73,12 +73,12 @@
     }
 
     /*
-     * The caller of a lookup is told 502 although its server answered well and at once. The answer
-     * was there before the relay had stored the exchange, and what came of it, an exception of its
-     * own, was taken for a broken connection. The server was left out for half a second besides.
+     * Failure: a caller gets 502 although the server responded correctly. The response arrived
+     * before the relay had stored the exchange, and the exception that followed was taken for a
+     * broken connection, which also ejected the server for half a second.
      */
     @Test
-    public void answerThatIsThereAtOnceIsToldToWhoHoldsTheExchange() throws Exception {
+    public void immediateResponseIsDeliveredToTheStoredExchange() throws Exception {
         EventLoop loop = CommonPools.workerGroup().next();
         WebClient instant =
                 WebClient.builder("h1c://127.0.0.1:1")
@@ -98,7 +98,7 @@
                                             new Heads(),
                                             loop,
                                             events);
-                            events.mExchange.listen();
+                            events.mExchange.subscribe();
                         })
                 .get();
         events.mEnd.get();
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/CallerConnectionTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/CallerConnectionTest.java
@@ -6,45 +6,46 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** Tests that a caller's going is told in the moment in which its connection closes. */
+/** Tests that a disconnected caller is reported when its connection closes. */
 public class CallerConnectionTest {
 
-    private final AtomicInteger mTold = new AtomicInteger();
+    private final AtomicInteger mDisconnects = new AtomicInteger();
 
     /**
-     * A caller closes its connection while it waits for a place at an engine. The library would say
-     * so a second later; by then its prompt was read and its generation begun, for nobody.
+     * Failure: a caller disconnects while it waits for a reservation. The library reports it a
+     * second later; by then its prompt has been prefilled and its generation started, although
+     * nobody waits.
      */
     @Test
-    public void closingIsToldAtOnce() {
-        mTold.set(0);
+    public void disconnectIsReportedImmediately() {
+        mDisconnects.set(0);
         EmbeddedChannel channel = new EmbeddedChannel();
-        new CallerConnection(channel).whenGone(mTold::incrementAndGet);
+        new CallerConnection(channel).onDisconnect(mDisconnects::incrementAndGet);
         channel.close();
-        assertEquals(mTold.get(), 1);
+        assertEquals(mDisconnects.get(), 1);
     }
 
     @Test
-    public void connectionThatClosedBeforeIsToldToo() {
-        mTold.set(0);
+    public void earlierDisconnectIsReported() {
+        mDisconnects.set(0);
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.close();
-        new CallerConnection(channel).whenGone(mTold::incrementAndGet);
-        assertEquals(mTold.get(), 1);
+        new CallerConnection(channel).onDisconnect(mDisconnects::incrementAndGet);
+        assertEquals(mDisconnects.get(), 1);
     }
 
-    /** Many requests use one connection in turn; its end is news only for the one in flight. */
+    /** A connection carries many requests in turn; its close concerns only the one in flight. */
     @Test
-    public void endedRequestHearsNothing() {
-        mTold.set(0);
+    public void closedWatchIsNotNotified() {
+        mDisconnects.set(0);
         EmbeddedChannel channel = new EmbeddedChannel();
         CallerConnection ended = new CallerConnection(channel);
-        ended.whenGone(mTold::incrementAndGet);
+        ended.onDisconnect(mDisconnects::incrementAndGet);
         ended.close();
         CallerConnection endedBefore = new CallerConnection(channel);
         endedBefore.close();
-        endedBefore.whenGone(mTold::incrementAndGet);
+        endedBefore.onDisconnect(mDisconnects::incrementAndGet);
         channel.close();
-        assertEquals(mTold.get(), 0);
+        assertEquals(mDisconnects.get(), 0);
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/SharedRetryBudgetTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/SharedRetryBudgetTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that all hosts together stay within the deployment's budget of repeats. */
+/** Tests that all hosts together stay within the deployment's retry budget. */
 public class SharedRetryBudgetTest {
 
     private static final ServiceName SERVICE = new ServiceName("s");
@@ -24,8 +24,9 @@
     }
 
     /**
-     * Every request fails and every host repeats as often as it may, for a minute, with a burst of
-     * requests in the middle. No window of ten seconds holds more repeats than the budget grants.
+     * For a minute every request fails and every host retries as often as it may, with a burst of
+     * requests in the middle. No window of ten seconds may hold more retries than the budget
+     * grants.
      */
     @Test(dataProvider = "deployments")
     public void allHostsStayWithinTheBudget(int hosts, long slack) {
@@ -38,7 +39,7 @@
         Random random = new Random(5);
         int steps = 600;
         int[] requests = new int[steps];
-        int[] repeats = new int[steps];
+        int[] retries = new int[steps];
         for (int step = 0; step < steps; step++) {
             clock.advance(100);
             requests[step] = step > 250 && step < 300 ? 12 : 4;
@@ -47,21 +48,21 @@
             }
             for (SharedRetryBudget budget : budgets) {
                 while (budget.tryTake(SERVICE)) {
-                    repeats[step]++;
+                    retries[step]++;
                 }
             }
         }
         for (int end = 100; end <= steps; end++) {
-            int asked = IntStream.range(end - 100, end).map(i -> requests[i]).sum();
-            int repeated = IntStream.range(end - 100, end).map(i -> repeats[i]).sum();
-            double granted = SHARE * asked + slack;
-            assertTrue(repeated <= granted, repeated + " repeats, granted " + granted);
+            int sent = IntStream.range(end - 100, end).map(i -> requests[i]).sum();
+            int retried = IntStream.range(end - 100, end).map(i -> retries[i]).sum();
+            double granted = SHARE * sent + slack;
+            assertTrue(retried <= granted, retried + " retries, granted " + granted);
         }
     }
 
     /** Before the hosts are counted, a hundred of them together spend no more than the slack. */
     @Test
-    public void uncountedHostsSpendLittle() {
+    public void hostsSpendLittleBeforeTheHostCountIsKnown() {
         SharedRetryBudget budget =
                 new SharedRetryBudget(SHARE, 52, WINDOW_MILLIS, new VirtualClock(0));
         assertTrue(budget.tryTake(SERVICE));
