--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/BoundPorts.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/BoundPorts.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import org.cyclamenpaddle.relay.settings.Endpoint;
 
-/** Finds the ports that a server was given where its settings say 0. */
+/** Determines the ports of a server whose settings leave them open with 0. */
 final class BoundPorts {
 
     private BoundPorts() {}
@@ -12,8 +12,9 @@
     /**
      * Returns the port on which a server listens for an endpoint of its settings.
      *
-     * <p>The library's own lookup knows only loopback and wildcard addresses, and fails on a host
-     * that is bound to its own address; so it is asked only where the port was left open.
+     * <p>The library's own lookup knows only loopback and wildcard addresses and fails on a host
+     * that is bound to its own address, so the bound ports are searched only if the port was left
+     * open.
      */
     static int of(Server server, Endpoint endpoint) {
         if (endpoint.port() != 0) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/GracefulShutdown.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/GracefulShutdown.java
@@ -5,37 +5,46 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.relay.front.DrainState;
 
-/** The planned stop of a relay, which cuts off no request in flight. */
+/**
+ * Runs the planned stop of a relay: keeps accepting requests until the load balancer has removed
+ * the host, then waits for the requests in flight.
+ */
 final class GracefulShutdown implements DrainState {
 
     /**
-     * How long requests are taken after the signal, in milliseconds.
+     * Minimum time from the signal to the end of the process, in milliseconds.
      *
-     * <p>The balancer asks every second and takes a host out after two misses; a connection that it
-     * forwards in the last moment needs as long again to be opened and used.
+     * <p>The load balancer checks readiness every second and removes a host after two failed
+     * checks; a connection that it forwards just before that needs as long again to be opened and
+     * used.
      */
-    static final long HANDOVER_MILLIS = 3_200;
+    static final long MIN_DRAIN_MILLIS = 3_200;
 
     /**
-     * Time left before the process is killed at which it ends by itself, in milliseconds.
+     * Time before the end of the grace period at which the process ends by itself, in milliseconds.
      *
-     * <p>Safeguard: a host that has turned slow needs several times the usual time to write its
-     * last lines and end; killed, it loses them, and with them what became of its last requests.
-     * Nothing that is in flight then could be excused by waiting for it: requests that come late in
-     * a stop are refused, so that only the longest streams are.
+     * <p>Safeguard: a host that has become slow needs several times the usual time to write its
+     * last log lines and exit. If it were killed, those lines would be lost, and with them the
+     * outcome of its last requests. Waiting longer would help only the longest streams, because
+     * requests that arrive late in a stop are refused.
      */
-    static final long MARGIN_MILLIS = 600;
+    static final long EXIT_MARGIN_MILLIS = 600;
 
-    /** How long no request has to be in flight before the end, in milliseconds. */
-    static final long QUIET_MILLIS = 200;
+    /** Time without a request in flight after which the process may end, in milliseconds. */
+    static final long IDLE_MILLIS = 200;
 
-    /** How long streams are taken after the signal, in milliseconds: most end within five more. */
-    static final long STREAMS_MILLIS = 2_900;
+    /**
+     * Time from the signal during which new streams are accepted, in milliseconds; most end within
+     * five seconds more.
+     */
+    static final long ACCEPT_STREAMS_MILLIS = 2_900;
 
-    /** Time before the end of the grace in which no call is taken, in milliseconds. */
-    static final long CALLS_MILLIS = 2_000;
+    /**
+     * Time before the end of the grace period during which new calls are refused, in milliseconds.
+     */
+    static final long REFUSE_CALLS_MILLIS = 2_000;
 
-    private static final long STEP_MILLIS = 50;
+    private static final long POLL_MILLIS = 50;
 
     private volatile long mGraceMillis;
     private final Clock mClock;
@@ -59,11 +68,11 @@
             return true;
         }
         long spent = mClock.millis() - mStartMillis;
-        return spent < (streams ? STREAMS_MILLIS : mGraceMillis - CALLS_MILLIS);
+        return spent < (streams ? ACCEPT_STREAMS_MILLIS : mGraceMillis - REFUSE_CALLS_MILLIS);
     }
 
-    /** Changes the time after which the process is killed. */
-    void grace(long millis) {
+    /** Updates the grace period, after which the process is killed. */
+    void updateGrace(long millis) {
         mGraceMillis = millis;
     }
 
@@ -72,32 +81,37 @@
         return mStopping;
     }
 
-    /** Waits until the process may end, and returns how long that took. */
+    /**
+     * Runs the stop until the process may end.
+     *
+     * @param inFlight returns the number of requests in flight
+     * @return the time that the stop took, in milliseconds
+     */
     long run(IntSupplier inFlight) {
         long start = mClock.millis();
         mStartMillis = start;
         mStopping = true;
-        long busy = start;
+        long lastBusy = start;
         long now = start;
-        while (!mayEnd(start, busy, now)) {
+        while (!mayEnd(start, lastBusy, now)) {
             mPause.run();
             now = mClock.millis();
             if (inFlight.getAsInt() > 0) {
-                busy = now;
+                lastBusy = now;
             }
         }
         return now - start;
     }
 
-    private boolean mayEnd(long start, long busy, long now) {
-        boolean done = now - start >= HANDOVER_MILLIS && now - busy >= QUIET_MILLIS;
-        return done || now - start >= mGraceMillis - MARGIN_MILLIS;
+    private boolean mayEnd(long start, long lastBusy, long now) {
+        boolean done = now - start >= MIN_DRAIN_MILLIS && now - lastBusy >= IDLE_MILLIS;
+        return done || now - start >= mGraceMillis - EXIT_MARGIN_MILLIS;
     }
 
     private static void pause() {
         try {
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
-        } catch (InterruptedException hurry) {
+            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/PlatformAdapter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/PlatformAdapter.java
@@ -12,17 +12,17 @@
 import org.cyclamenpaddle.relay.wire.EngineMessages;
 
 /**
- * What a deployment brings along: its store's objects and its messages.
+ * Adapter to a deployment's platform: its store objects and its messages.
  *
- * @param configurations the operators' configuration
- * @param backends backend servers, each under its id
- * @param callerMessages decodes callers' requests
- * @param backendMessages sends callers' requests on to backend servers
- * @param engineMessages speaks to engines about their memory
- * @param hosts where hosts announce themselves
- * @param lease keeps the lease on orders
- * @param orders gives them
- * @param connections to backend servers, which the relay closes
+ * @param configurations source of the operators' configuration
+ * @param backends source of the backend servers, each under its id
+ * @param callerMessages decoder of callers' requests
+ * @param backendMessages codec of requests to backend servers
+ * @param engineMessages codec of calls about engine memory
+ * @param hosts store of the hosts' registrations
+ * @param lease store of the lease on orders
+ * @param orders client for orders to engines
+ * @param connections connections to backend servers, which the relay closes
  */
 public record PlatformAdapter(
         EntrySource<RelayConfiguration> configurations,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -44,39 +44,39 @@
 import org.cyclamenpaddle.relay.store.Follower;
 import org.cyclamenpaddle.routing.reservation.ReturningClients;
 
-/** One relay process: its parts, its start and its planned stop. */
+/** Composes a relay process from its parts, starts it and runs its planned stop. */
 public final class RelayProcess implements AutoCloseable {
 
     /**
-     * Longest pause of a caller between two requests on one connection, in milliseconds.
+     * Idle timeout of a caller's connection, in milliseconds.
      *
-     * <p>Above what any configuration grants, so that a caller never meets a connection that has
-     * just been closed here.
+     * <p>Longer than any configuration allows, so that a caller never sends a request on a
+     * connection that has just been closed by the relay.
      */
     private static final long CALLER_IDLE_MILLIS = 120_000;
 
-    /** Largest body taken, in bytes; the configurations grant 4 MiB. */
+    /** Maximum body size, in bytes; configurations allow 4 MiB. */
     private static final long MAX_BODY_BYTES = 8L << 20;
 
-    /** Longest header block taken, in bytes; the configurations grant 16 KiB. */
+    /** Maximum size of the header block, in bytes; configurations allow 16 KiB. */
     private static final int MAX_HEADER_BYTES = 32 << 10;
 
     private static final String READY_PATH = "/v1/ready";
     private static final String METRICS_PATH = "/metrics";
 
-    /** How often the settings file is looked at without a signal, in milliseconds. */
+    /** Interval at which the settings file is read without a signal, in milliseconds. */
     private static final long RELOAD_MILLIS = 5_000;
 
     private final RelaySettings mSettings;
-    private final Supplier<Either<String, RelaySettings>> mReader;
-    private volatile RelaySettings mLatest;
+    private final Supplier<Either<String, RelaySettings>> mSettingsReader;
+    private volatile RelaySettings mCurrentSettings;
     private final Clock mClock = new MonotonicClock();
     private final DoubleSupplier mRandom = () -> ThreadLocalRandom.current().nextDouble();
     private final DecisionLog mLog;
     private final RelayMetrics mMetrics = new RelayMetrics();
     private final ConfigurationCell mConfiguration = new ConfigurationCell();
     private final BackendConnections mConnections;
-    private final ScheduledExecutorService mFollowing =
+    private final ScheduledExecutorService mScheduler =
             Executors.newSingleThreadScheduledExecutor(RelayProcess::daemon);
     private final DemandMeter mDemand = new DemandMeter();
     private final SharedRetryBudget mBudget;
@@ -85,17 +85,17 @@
     private final StateUpdater mUpdater;
     private final RelayService mService;
     private final PlatformAdapter mAdapter;
-    private final GracefulShutdown mStop;
+    private final GracefulShutdown mShutdown;
     private final Server mCallerServer;
     private final Server mCheckServer;
 
     /**
-     * Composes a process; {@link #start} begins.
+     * Composes a process; {@link #start} starts it.
      *
-     * @param settings checked settings
-     * @param reader reads them again
-     * @param adapter what the deployment brings along
-     * @param log decision lines
+     * @param settings validated settings
+     * @param reader reads the settings file again
+     * @param adapter adapter to the deployment's platform
+     * @param log decision log
      */
     public RelayProcess(
             RelaySettings settings,
@@ -103,8 +103,8 @@
             PlatformAdapter adapter,
             DecisionLog log) {
         mSettings = settings;
-        mLatest = settings;
-        mReader = reader;
+        mCurrentSettings = settings;
+        mSettingsReader = reader;
         mAdapter = adapter;
         mConnections = adapter.connections();
         mLog = log;
@@ -131,10 +131,10 @@
                         mMetrics,
                         mClock,
                         mRandom);
-        mStop = new GracefulShutdown(settings.stop().graceMillis(), mClock);
+        mShutdown = new GracefulShutdown(settings.stop().graceMillis(), mClock);
         mService =
                 new RelayService(
-                        relay, adapter.callerMessages(), mConfiguration, mStop, mStartupGate);
+                        relay, adapter.callerMessages(), mConfiguration, mShutdown, mStartupGate);
         mCallerServer = callerServer();
         mCheckServer = checkServer();
         mMetrics.gauge("requests_in_flight", mService::inFlight);
@@ -142,14 +142,14 @@
         mMetrics.gauge("configuration_version", mConfiguration::version);
     }
 
-    /** Begins to listen and to follow the store. */
+    /** Starts to listen and to follow the store. */
     public Try<Void> start() {
         return Try.run(
                 () -> {
-                    follow();
+                    startFollowers();
                     mCallerServer.start().join();
                     mCheckServer.start().join();
-                    mFollowing.schedule(
+                    mScheduler.schedule(
                             mStartupGate::open, StartupGate.MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
                     mLog.log(
                             RelayEvent.STARTED,
@@ -160,43 +160,45 @@
                 });
     }
 
-    /** Returns the port at which callers are served. */
+    /** Returns the port for callers. */
     public int callerPort() {
         return BoundPorts.of(mCallerServer, mSettings.listen().callers());
     }
 
-    /** Returns the port at which readiness and metrics are served. */
+    /** Returns the port for readiness checks and metrics. */
     public int checkPort() {
         return BoundPorts.of(mCheckServer, mSettings.listen().checks());
     }
 
-    /** Returns whether new work is wanted. */
+    /** Returns whether the host is ready for new requests. */
     public boolean ready() {
-        return mUpdater.complete() && !mStop.isStopping();
+        return mUpdater.complete() && !mShutdown.isStopping();
     }
 
     /**
-     * Reads the settings again and takes over what can change in a running process.
+     * Reloads the settings and applies those that can change at run time.
      *
-     * <p>The file can also change without a signal, so this is done every few seconds as well.
-     * Addresses stay as they are until the next start. A file that cannot be used is logged, and
-     * the settings in force stay.
+     * <p>The file can also change without a signal, so this runs every few seconds as well.
+     * Addresses change only at the next start. An invalid file is logged and the settings in force
+     * stay.
      */
     public synchronized void reload() {
-        Either<String, RelaySettings> read = mReader.get();
+        Either<String, RelaySettings> read = mSettingsReader.get();
         if (read.isLeft()) {
             mLog.log(RelayEvent.SETTINGS_RELOADED, false, read.getLeft());
-        } else if (!read.get().equals(mLatest)) {
-            mLatest = read.get();
-            mStop.grace(mLatest.stop().graceMillis());
+        } else if (!read.get().equals(mCurrentSettings)) {
+            mCurrentSettings = read.get();
+            mShutdown.updateGrace(mCurrentSettings.stop().graceMillis());
             mLog.log(RelayEvent.SETTINGS_RELOADED, true, "none");
         }
     }
 
-    /** Takes the host out of service and waits for the requests in flight. */
+    /**
+     * Runs the planned stop: takes the host out of service and waits for the requests in flight.
+     */
     public void stop() {
-        mLog.log(RelayEvent.STOPPING, mService.inFlight(), mLatest.stop().graceMillis());
-        long tookMillis = mStop.run(mService::inFlight);
+        mLog.log(RelayEvent.STOPPING, mService.inFlight(), mCurrentSettings.stop().graceMillis());
+        long tookMillis = mShutdown.run(mService::inFlight);
         mLog.log(RelayEvent.STOPPED, mService.inFlight(), tookMillis);
         mLog.flush();
     }
@@ -204,17 +206,17 @@
     @Override
     public void close() {
         CompletableFuture.allOf(mCheckServer.stop(), mCallerServer.stop()).join();
-        mFollowing.shutdownNow();
+        mScheduler.shutdownNow();
         mConnections.close();
     }
 
-    private void follow() {
-        mFollowing.scheduleWithFixedDelay(
+    private void startFollowers() {
+        mScheduler.scheduleWithFixedDelay(
                 this::reload, RELOAD_MILLIS, RELOAD_MILLIS, TimeUnit.MILLISECONDS);
         new Follower<>(
                         mAdapter.configurations(),
                         mUpdater.configurations(),
-                        mFollowing,
+                        mScheduler,
                         mClock,
                         mRandom)
                 .start();
@@ -223,19 +225,19 @@
                         mAdapter.hosts(),
                         mBudget::updateHostCount,
                         mLog,
-                        mFollowing,
+                        mScheduler,
                         mClock,
                         mRandom)
                 .start();
-        stageKeeper().start();
-        new Follower<>(mAdapter.backends(), mUpdater.backends(), mFollowing, mClock, mRandom)
+        roleController().start();
+        new Follower<>(mAdapter.backends(), mUpdater.backends(), mScheduler, mClock, mRandom)
                 .start();
     }
 
-    private RoleController stageKeeper() {
-        String life = mSettings.host().name() + "-" + UUID.randomUUID();
+    private RoleController roleController() {
+        String incarnation = mSettings.host().name() + "-" + UUID.randomUUID();
         return new RoleController(
-                life,
+                incarnation,
                 new RoleController.Parts(
                         mBoard,
                         mDemand,
@@ -244,7 +246,7 @@
                         mAdapter.lease(),
                         mLog),
                 () -> mConfiguration.inForce().map(RelayConfiguration::engines).orElse(Map.of()),
-                mFollowing,
+                mScheduler,
                 mClock,
                 System::currentTimeMillis,
                 mRandom);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/Signals.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/Signals.java
@@ -2,7 +2,7 @@
 
 import sun.misc.Signal;
 
-/** Reacts to the signals by which a service manager steers a process. */
+/** Handles the signals of a service manager. */
 public final class Signals {
 
     private static final int EXIT_OK = 0;
@@ -10,13 +10,13 @@
     private Signals() {}
 
     /**
-     * Runs a planned stop on SIGTERM and SIGINT, then ends the process.
+     * Runs a planned stop on SIGTERM and SIGINT, then halts the process.
      *
-     * <p>A shutdown hook would not do: hooks of libraries run beside it and close what requests in
-     * flight still need. The process is halted at the end, since nothing is left to be saved and an
-     * orderly exit waits for threads that wait for the network.
+     * <p>A shutdown hook is not used: hooks of libraries run concurrently with it and close
+     * resources that requests in flight still need. The process is halted at the end, since nothing
+     * remains to be saved and an orderly exit would wait for threads that wait for the network.
      *
-     * @param stop returns when the process may end
+     * @param stop planned stop; returns when the process may end
      */
     public static void onStop(Runnable stop) {
         Runnable stopAndEnd =
@@ -29,17 +29,17 @@
     }
 
     /**
-     * Keeps SIGHUP from ending a process that cannot read its settings again yet.
+     * Ignores SIGHUP until the settings can be reloaded.
      *
-     * <p>Safeguard: a process that has just been started may be told that its settings have changed
-     * a second before it has read them. Without a handler it would end at once. Nothing is missed:
-     * the settings are read after this, and again every few seconds.
+     * <p>Safeguard: a process that has just started may receive the signal for changed settings a
+     * second before it has read them, and without a handler it would end at once. No change is
+     * missed: the settings are read after this call, and again every few seconds.
      */
     public static void ignoreReload() {
         Signal.handle(new Signal("HUP"), signal -> {});
     }
 
-    /** Reads the settings again on SIGHUP, which would otherwise end the process. */
+    /** Reloads the settings on SIGHUP, which would otherwise end the process. */
     public static void onReload(Runnable reload) {
         Signal.handle(new Signal("HUP"), signal -> new Thread(reload, "reload").start());
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
@@ -17,7 +17,9 @@
 import org.cyclamenpaddle.relay.store.EntryListener;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
-/** Brings what the store says to the tables that requests are decided by, one log line each. */
+/**
+ * Applies changes from the store to the configuration and the backend board, and logs each of them.
+ */
 final class StateUpdater {
 
     private final DecisionLog mLog;
@@ -25,42 +27,45 @@
     private final BackendBoard mBoard;
     private final Clock mClock;
     private final StartupGate mStartupGate;
-    private final Runnable mCompleted;
+    private final Runnable mOnComplete;
     private volatile boolean mBackendsListed;
-    private boolean mCompleteSaid;
+    private boolean mCompletionReported;
 
     /**
-     * Creates an updater before anything is known.
+     * Creates an updater without any state.
      *
-     * @param startWait ended as soon as requests can be decided, or the store fails a call
-     * @param completed run once, as soon as requests can be decided
+     * @param startupGate opened as soon as requests can be routed, or a store call fails
+     * @param onComplete run once, as soon as requests can be routed
      */
     StateUpdater(
             DecisionLog log,
             ConfigurationCell configuration,
             BackendBoard board,
             Clock clock,
-            StartupGate startWait,
-            Runnable completed) {
-        mStartupGate = startWait;
-        mCompleted = completed;
+            StartupGate startupGate,
+            Runnable onComplete) {
+        mStartupGate = startupGate;
+        mOnComplete = onComplete;
         mLog = log;
         mConfiguration = configuration;
         mBoard = board;
         mClock = clock;
     }
 
-    /** Returns whether requests can be decided: there are routes and known backend servers. */
+    /**
+     * Returns whether requests can be routed: a configuration is in force and the backend servers
+     * are known.
+     */
     boolean complete() {
         return mBackendsListed && mConfiguration.inForce().isPresent();
     }
 
-    /** Both followers call this on their one thread. */
-    private void learned() {
-        if (complete() && !mCompleteSaid) {
-            mCompleteSaid = true;
+    /** Reports completion once. Both followers call this on their one thread. */
+    private void reportIfComplete() {
+        if (complete() && !mCompletionReported) {
+            mCompletionReported = true;
             mStartupGate.open();
-            mCompleted.run();
+            mOnComplete.run();
         }
     }
 
@@ -78,14 +83,15 @@
         public void listed(List<Entry<RelayConfiguration>> entries) {
             entries.forEach(this::changed);
             mConfiguration.confirmed(true);
-            learned();
+            reportIfComplete();
         }
 
         @Override
         public void changed(Entry<RelayConfiguration> entry) {
-            long was = mConfiguration.version();
+            long previousVersion = mConfiguration.version();
             if (entry.value().isLeft()) {
-                mLog.log(RelayEvent.CONFIGURATION_IGNORED, entry.value().getLeft(), was);
+                mLog.log(
+                        RelayEvent.CONFIGURATION_IGNORED, entry.value().getLeft(), previousVersion);
                 return;
             }
             RelayConfiguration offered = entry.value().get();
@@ -93,9 +99,9 @@
                 mLog.log(
                         RelayEvent.CONFIGURATION_IN_FORCE,
                         offered.version(),
-                        was,
+                        previousVersion,
                         offered.routes());
-                learned();
+                reportIfComplete();
             }
         }
 
@@ -123,7 +129,7 @@
             mBoard.listed(named, mClock.millis());
             mBackendsListed = true;
             mLog.log(RelayEvent.BACKENDS_LISTED, named.size(), entries.size() - named.size());
-            learned();
+            reportIfComplete();
         }
 
         @Override
@@ -157,8 +163,8 @@
         private Optional<BackendId> backendId(String name) {
             try {
                 return Optional.of(new BackendId(name));
-            } catch (IllegalArgumentException noName) {
-                // No backend server can have been known by it.
+            } catch (IllegalArgumentException invalidId) {
+                // An invalid id cannot belong to a known backend server.
                 return Optional.empty();
             }
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/package-info.java
@@ -1,2 +1,2 @@
-/** Composition of the relay process, its start and its stop. */
+/** Composition, start and stop of the relay process. */
 package org.cyclamenpaddle.relay.assembly;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/DecisionLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/DecisionLog.java
@@ -12,16 +12,16 @@
 import org.cyclamenpaddle.core.invariant.Invariants;
 
 /**
- * Writes one JSON line for each decision, without ever making a request wait.
+ * Asynchronous log that writes one JSON line per event and never blocks a request.
  *
- * <p>Safeguard: whoever reads standard output may stop reading, and a blocked write would then hold
- * up every request. Lines go into a bounded queue that one thread empties. When it fills, ordinary
- * lines are dropped first and those that explain a failure last; how many were dropped is a line of
- * its own. Safe for use by many threads.
+ * <p>Safeguard: the process that reads standard output may stop reading, and a blocking write would
+ * then stall every request. Lines are put into a bounded queue that a single thread drains. As the
+ * queue fills up, ordinary lines are dropped first and lines that explain failures last; the number
+ * of dropped lines is logged in a line of its own. Thread-safe.
  */
 public final class DecisionLog {
 
-    /** Lines that wait at most; about 300 bytes each, so that they stay under 700 KB. */
+    /** Capacity of the queue in lines; at about 300 bytes a line it stays under 700 KB. */
     static final int QUEUE_LINES = 2_048;
 
     private final OutputStream mOut;
@@ -32,11 +32,11 @@
     private long mDropped;
 
     /**
-     * Creates a log; {@link #start} begins to write.
+     * Creates a log; lines are written once {@link #start} is called.
      *
-     * @param out where lines go
+     * @param out stream to write to
      * @param host name of this host
-     * @param wallClock time of day, for people only
+     * @param wallClock time of day, for display only
      */
     public DecisionLog(OutputStream out, String host, Supplier<Instant> wallClock) {
         mOut = out;
@@ -44,7 +44,7 @@
         mWallClock = wallClock;
     }
 
-    /** Begins to write, on a thread of its own. */
+    /** Starts the writer thread. */
     public void start() {
         Thread writer = new Thread(this::writeAll, "log-writer");
         writer.setDaemon(true);
@@ -54,15 +54,20 @@
     /**
      * Queues a line.
      *
-     * @param event which
-     * @param values of {@link RelayEvent#fields()}, as many and in that order
+     * @param event event to log
+     * @param values values of {@link RelayEvent#fields()}, in the same number and order
      */
     public void log(RelayEvent event, Object... values) {
         Invariants.require(
                 values.length == event.fields().size(),
-                () -> event.code() + " takes " + event.fields() + ", not " + values.length);
+                () ->
+                        event.code()
+                                + " expects values for "
+                                + event.fields()
+                                + ", got "
+                                + values.length);
         synchronized (mQueue) {
-            if (mQueue.size() >= room(event.weight())) {
+            if (mQueue.size() >= capacity(event.priority())) {
                 mDropped++;
                 return;
             }
@@ -74,31 +79,31 @@
         }
     }
 
-    /** Writes what is queued now, for the end of the process. */
+    /** Writes the lines that are queued now; for use at the end of the process. */
     public void flush() {
-        take(false).forEach(this::write);
+        drain(false).forEach(this::write);
     }
 
-    private static int room(RelayEvent.Weight weight) {
+    private static int capacity(RelayEvent.Priority weight) {
         return switch (weight) {
             case ORDINARY -> QUEUE_LINES / 2;
-            case TELLING -> QUEUE_LINES * 3 / 4;
+            case DIAGNOSTIC -> QUEUE_LINES * 3 / 4;
             case STATE -> QUEUE_LINES;
         };
     }
 
     private void writeAll() {
         while (!Thread.currentThread().isInterrupted()) {
-            take(true).forEach(this::write);
+            drain(true).forEach(this::write);
         }
     }
 
-    private Deque<byte[]> take(boolean wait) {
+    private Deque<byte[]> drain(boolean wait) {
         synchronized (mQueue) {
             while (wait && mQueue.isEmpty()) {
                 try {
                     mQueue.wait();
-                } catch (InterruptedException end) {
+                } catch (InterruptedException interrupted) {
                     Thread.currentThread().interrupt();
                     return new ArrayDeque<>();
                 }
@@ -118,7 +123,7 @@
             mOut.write(line);
             mOut.flush();
         } catch (IOException closed) {
-            // Nobody reads any more, and there is no other place to say so.
+            // Standard output is closed, and there is no other channel to report that.
             Thread.currentThread().interrupt();
         }
     }
@@ -136,7 +141,7 @@
             }
             json.writeEndObject();
         } catch (IOException impossible) {
-            throw new IllegalStateException("a line in memory cannot be written", impossible);
+            throw new IllegalStateException("cannot write a log line to memory", impossible);
         }
         bytes.write('\n');
         return bytes.toByteArray();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
@@ -8,18 +8,18 @@
 import java.util.logging.Logger;
 
 /**
- * Brings what libraries say of trouble into the decision log.
+ * Routes warnings of libraries that use {@code java.util.logging} into the decision log.
  *
- * <p>Left to themselves they write free text to standard error, two lines each, at any rate and on
- * the thread that met the trouble. As decision lines they are structured, bounded and never block.
+ * <p>By default they are written to standard error as free text of two lines each, without a limit
+ * and on the thread that logs. As decision lines they are structured, bounded and non-blocking.
  */
 public final class LibraryLog {
 
-    private static final class Lines extends Handler {
+    private static final class DecisionLogHandler extends Handler {
 
         private final DecisionLog mLog;
 
-        private Lines(DecisionLog log) {
+        private DecisionLogHandler(DecisionLog log) {
             mLog = log;
             setLevel(Level.WARNING);
         }
@@ -37,7 +37,7 @@
 
         @Override
         public void flush() {
-            // The decision log writes by itself.
+            // The decision log has its own writer thread.
         }
 
         @Override
@@ -48,12 +48,12 @@
 
     private LibraryLog() {}
 
-    /** Sends warnings and errors of all libraries to a log, in place of to standard error. */
+    /** Redirects warnings and errors of all libraries from standard error to a log. */
     public static void install(DecisionLog log) {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         Arrays.stream(root.getHandlers()).forEach(root::removeHandler);
         root.setLevel(Level.WARNING);
-        root.addHandler(new Lines(log));
+        root.addHandler(new DecisionLogHandler(log));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/package-info.java
@@ -1,2 +1,2 @@
-/** Decision lines: bounded, structured and never blocking. */
+/** Decision log: bounded, structured and non-blocking. */
 package org.cyclamenpaddle.relay.log;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Forwarding of requests by routes: the product's second front. */
+/** The relay: forwards requests to backend servers by configured routes. */
 package org.cyclamenpaddle.relay;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/Endpoint.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/Endpoint.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.relay.settings;
 
 /**
- * An IP number with a TCP port.
+ * IPv4 address with a TCP port.
  *
- * @param address IP number
- * @param port TCP port, 0 for any free one
+ * @param address IPv4 address
+ * @param port TCP port; 0 for an ephemeral port
  */
 public record Endpoint(String address, int port) {
 
@@ -13,14 +13,14 @@
     public Endpoint {
         if (address == null || !address.matches("[0-9.]+") || port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException(
-                    "'" + address + ":" + port + "' is no IP number with a port");
+                    "'" + address + ":" + port + "' is not an IP number with a port");
         }
     }
 
     /**
-     * Reads an endpoint.
+     * Parses an endpoint.
      *
-     * @param text such as {@code 10.1.0.38:8149}
+     * @param text address and port, such as {@code 10.1.0.38:8149}
      */
     public static Endpoint of(String text) {
         int colon = text.lastIndexOf(':');
@@ -30,7 +30,7 @@
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (NumberFormatException malformed) {
             throw new IllegalArgumentException(
-                    "'" + text + "' is no IP number with a port", malformed);
+                    "'" + text + "' is not an IP number with a port", malformed);
         }
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/RelaySettings.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/RelaySettings.java
@@ -3,11 +3,11 @@
 /**
  * Settings of a relay process.
  *
- * @param host who this host is
- * @param listen where it listens
- * @param store where configuration and backend servers are found
- * @param stop timings of a planned stop
- * @param retry the shared budget of repeats
+ * @param host identity of this host
+ * @param listen listen addresses
+ * @param store address of the store of configuration and backend servers
+ * @param stop timing of a planned stop
+ * @param retry retry budget shared by all hosts
  */
 public record RelaySettings(Host host, Listen listen, Store store, Stop stop, Retry retry) {
 
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Who this host is.
+     * Identity of this host.
      *
-     * @param name unique among the hosts
-     * @param domain its failure domain
+     * @param name unique name among the hosts
+     * @param domain failure domain of the host
      */
     public record Host(String name, String domain) {
         public Host {
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Where the process listens, each an IP number with a port.
+     * Listen addresses of the process.
      *
-     * @param callers for callers
-     * @param checks for the balancer's readiness check and for metrics
+     * @param callers address for callers
+     * @param checks address for the load balancer's readiness check and for metrics
      */
     public record Listen(Endpoint callers, Endpoint checks) {
         public Listen {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Where the store is.
+     * Address of the store.
      *
-     * @param address its IP number with a port
+     * @param address IP number with a port
      */
     public record Store(Endpoint address) {
         public Store {
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Timings of a planned stop.
+     * Timing of a planned stop.
      *
      * @param graceSeconds time from the signal after which the process is killed
      */
@@ -75,10 +75,10 @@
     }
 
     /**
-     * The budget of repeats that all hosts share.
+     * Retry budget shared by all hosts.
      *
-     * @param share repeats for each request of a service, over all hosts
-     * @param slack repeats within a window besides, over all hosts
+     * @param share retries per request of a service, over all hosts
+     * @param slack additional retries per window, over all hosts
      * @param windowSeconds length of the window
      */
     public record Retry(double share, double slack, double windowSeconds) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/RelaySettingsReader.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/RelaySettingsReader.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads and checks a relay's settings file. */
+/** Reads and validates a relay's settings file. */
 public final class RelaySettingsReader {
 
     private static final TomlMapper MAPPER = new TomlMapper();
@@ -17,7 +17,7 @@
     /**
      * Reads a file.
      *
-     * @return the settings, or one line that says what is wrong and where
+     * @return the settings, or a one-line error message that starts with the file name
      */
     public static Either<String, RelaySettings> read(Path file) {
         try {
@@ -27,14 +27,14 @@
         }
     }
 
-    /** Checks the text of a file. */
+    /** Parses and validates the text of a file. */
     public static Either<String, RelaySettings> parse(String text) {
         try {
-            return Either.right(settings(SettingsTable.whole(MAPPER.readTree(text))));
+            return Either.right(settings(SettingsTable.root(MAPPER.readTree(text))));
         } catch (JsonProcessingException malformed) {
             return Either.left(malformed.getOriginalMessage());
-        } catch (IllegalArgumentException wrong) {
-            return Either.left(wrong.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            return Either.left(invalid.getMessage());
         }
     }
 
@@ -46,32 +46,32 @@
                         store(file.table("store")),
                         stop(file.table("stop")),
                         retry(file.table("retry")));
-        file.close();
+        file.rejectUnknownKeys();
         return settings;
     }
 
     private static RelaySettings.Host host(SettingsTable table) {
         RelaySettings.Host host = new RelaySettings.Host(table.text("name"), table.text("domain"));
-        table.close();
+        table.rejectUnknownKeys();
         return host;
     }
 
     private static RelaySettings.Listen listen(SettingsTable table) {
         RelaySettings.Listen listen =
                 new RelaySettings.Listen(table.endpoint("callers"), table.endpoint("checks"));
-        table.close();
+        table.rejectUnknownKeys();
         return listen;
     }
 
     private static RelaySettings.Store store(SettingsTable table) {
         RelaySettings.Store store = new RelaySettings.Store(table.endpoint("address"));
-        table.close();
+        table.rejectUnknownKeys();
         return store;
     }
 
     private static RelaySettings.Stop stop(SettingsTable table) {
         RelaySettings.Stop stop = new RelaySettings.Stop(table.number("graceSeconds"));
-        table.close();
+        table.rejectUnknownKeys();
         return stop;
     }
 
@@ -81,7 +81,7 @@
                         table.number("share"),
                         table.number("slack"),
                         table.number("windowSeconds"));
-        table.close();
+        table.rejectUnknownKeys();
         return retry;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/SettingsTable.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/settings/SettingsTable.java
@@ -8,41 +8,44 @@
 import java.util.stream.StreamSupport;
 
 /**
- * One table of a settings file, which knows the keys that were asked for.
+ * Table of a settings file that tracks which of its keys have been read.
  *
- * <p>Values are taken one by one. Binding them to records by reflection would be shorter, but
- * spends processor time at each start, while callers wait. Not thread-safe.
+ * <p>Values are read one by one. Binding them to records by reflection would be shorter, but costs
+ * processor time at each start, while callers wait. Not thread-safe.
  */
 final class SettingsTable {
 
     private final String mName;
     private final JsonNode mValues;
-    private final Set<String> mKnown = new HashSet<>();
+    private final Set<String> mReadKeys = new HashSet<>();
 
     private SettingsTable(String name, JsonNode values) {
         mName = name;
         mValues = values;
     }
 
-    /** Returns the table that is the whole file. */
-    static SettingsTable whole(JsonNode file) {
+    /** Returns the root table of a file. */
+    static SettingsTable root(JsonNode file) {
         return new SettingsTable("", file);
     }
 
-    /** Returns the table under a key. */
+    /** Returns the nested table under a key. */
     SettingsTable table(String key) {
         JsonNode values = value(key);
-        require(values.isObject(), key, "is no table");
+        require(values.isObject(), key, "must be a table");
         return new SettingsTable(mName + key + ".", values);
     }
 
     String text(String key) {
         JsonNode value = value(key);
-        require(value.isTextual() && !value.textValue().isBlank(), key, "must be a text");
+        require(
+                value.isTextual() && !value.textValue().isBlank(),
+                key,
+                "must be a non-blank string");
         return value.textValue();
     }
 
-    /** Returns a whole number or a fraction; infinity and "not a number" are refused. */
+    /** Returns an integer or a fraction; infinity and NaN are rejected. */
     double number(String key) {
         JsonNode value = value(key);
         require(
@@ -56,22 +59,22 @@
     Endpoint endpoint(String key) {
         try {
             return Endpoint.of(text(key));
-        } catch (IllegalArgumentException wrong) {
-            throw new IllegalArgumentException(mName + key + ": " + wrong.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            throw new IllegalArgumentException(mName + key + ": " + invalid.getMessage());
         }
     }
 
     /**
-     * Refuses keys that nothing asked for.
+     * Rejects keys that have not been read.
      *
-     * <p>Safeguard: a misspelt key would be ignored, and the process would run with another value
-     * than its file shows.
+     * <p>Safeguard: a misspelt key would be ignored, and the process would run with a value other
+     * than the one in its file.
      */
-    void close() {
+    void rejectUnknownKeys() {
         String unknown =
-                names().filter(name -> !mKnown.contains(name)).collect(Collectors.joining(", "));
+                names().filter(name -> !mReadKeys.contains(name)).collect(Collectors.joining(", "));
         if (!unknown.isEmpty()) {
-            throw new IllegalArgumentException("unknown: " + mName + unknown);
+            throw new IllegalArgumentException("unknown key: " + mName + unknown);
         }
     }
 
@@ -81,7 +84,7 @@
     }
 
     private JsonNode value(String key) {
-        mKnown.add(key);
+        mReadKeys.add(key);
         JsonNode value = mValues.path(key);
         require(!value.isMissingNode(), key, "is missing");
         return value;
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/assembly/GracefulShutdownTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/assembly/GracefulShutdownTest.java
@@ -9,7 +9,10 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.testng.annotations.Test;
 
-/** Tests when a planned stop ends, and what it still takes, on a clock that each look moves. */
+/**
+ * Tests when a planned stop ends and which requests it accepts, on a clock that advances with each
+ * read.
+ */
 public class GracefulShutdownTest {
 
     private static final long GRACE = 8_000;
@@ -28,30 +31,29 @@
     }
 
     @Test
-    public void idleHostStaysUntilTheBalancerHasLeft() {
+    public void idleHostRunsUntilTheBalancerStopsSending() {
         long took = run(stop(), now -> 0);
-        assertTrue(took >= GracefulShutdown.HANDOVER_MILLIS, "took " + took);
-        assertTrue(took < GracefulShutdown.HANDOVER_MILLIS + 100, "took " + took);
+        assertTrue(took >= GracefulShutdown.MIN_DRAIN_MILLIS, "took " + took);
+        assertTrue(took < GracefulShutdown.MIN_DRAIN_MILLIS + 100, "took " + took);
     }
 
     @Test
     public void requestsInFlightAreWaitedFor() {
         long took = run(stop(), now -> now < 6_000 ? 3 : 0);
         assertTrue(
-                took >= 6_000 && took < 6_000 + GracefulShutdown.QUIET_MILLIS + 100,
-                "took " + took);
+                took >= 6_000 && took < 6_000 + GracefulShutdown.IDLE_MILLIS + 100, "took " + took);
     }
 
     @Test
     public void stopEndsBeforeTheProcessIsKilled() {
         long took = run(stop(), now -> 1);
-        assertTrue(took <= GRACE - GracefulShutdown.MARGIN_MILLIS + 100, "took " + took);
+        assertTrue(took <= GRACE - GracefulShutdown.EXIT_MARGIN_MILLIS + 100, "took " + took);
     }
 
     /**
-     * The only host of its failure domain stops, and callers go on sending to it. A stream that
-     * came seven seconds after the signal was cut off half a second later, when the host ended; it
-     * is refused now, so that its caller goes elsewhere.
+     * Failure: the only host of a failure domain stops and callers keep sending to it. A stream
+     * that arrived seven seconds after the signal was cut off half a second later, when the host
+     * ended. Such a stream is refused, so that its caller goes to another host.
      */
     @Test
     public void lateStreamsAreRefusedAndCallsAreTakenForLonger() {
@@ -66,8 +68,8 @@
                     lastCall[0] = stop.accepts(false) ? now : lastCall[0];
                     return 1;
                 });
-        assertEquals(lastStream[0] / 100, GracefulShutdown.STREAMS_MILLIS / 100 - 1);
-        assertEquals(lastCall[0] / 100, (GRACE - GracefulShutdown.CALLS_MILLIS) / 100 - 1);
+        assertEquals(lastStream[0] / 100, GracefulShutdown.ACCEPT_STREAMS_MILLIS / 100 - 1);
+        assertEquals(lastCall[0] / 100, (GRACE - GracefulShutdown.REFUSE_CALLS_MILLIS) / 100 - 1);
         assertFalse(stop.accepts(true));
         assertFalse(stop.accepts(false));
     }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/DecisionLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/DecisionLogTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests that lines are whole and that a reader who stops reading holds up nobody. */
+/** Tests that lines are complete and that a blocked reader of the output blocks no request. */
 public class DecisionLogTest {
 
     private final ByteArrayOutputStream mOut = new ByteArrayOutputStream();
@@ -42,26 +42,28 @@
                 List.of(
                         "{\"time\":\"1970-01-01T00:00:00Z\",\"node\":\"host-1\","
                                 + "\"code\":\"CP2107\","
-                                + "\"event\":\"backend server has no entry\","
+                                + "\"event\":\"backend server entry removed or unreadable\","
                                 + "\"backend\":\"i-1\","
                                 + "\"reason\":\"a \\\"quote\\\"\\nand a line\"}"));
     }
 
     /**
-     * Nobody empties the queue while many requests end. Ordinary lines are dropped first, those of
-     * failures later, and the count of what is missing is written once there is room.
+     * The queue is not drained while many requests end. Ordinary lines are dropped first, those of
+     * failures later, and the number of dropped lines is written once there is capacity again.
      */
     @Test
-    public void fullQueueDropsOrdinaryLinesFirstAndSaysHowMany() {
+    public void fullQueueDropsOrdinaryLinesFirstAndReportsTheirNumber() {
         DecisionLog log = log(mOut);
         IntStream.range(0, DecisionLog.QUEUE_LINES)
                 .forEach(i -> log.log(RelayEvent.RELEASE_FAILED, "i-1", i));
         log.log(RelayEvent.STORE_UNREACHABLE, "configuration", "NO_ANSWER");
         log.flush();
-        int kept = DecisionLog.QUEUE_LINES * 3 / 4;
-        assertEquals(lines().size(), kept + 2);
-        assertTrue(lines().get(kept).contains("CP2101"));
-        assertTrue(lines().get(kept + 1).contains("\"lines\":" + (DecisionLog.QUEUE_LINES - kept)));
+        int written = DecisionLog.QUEUE_LINES * 3 / 4;
+        assertEquals(lines().size(), written + 2);
+        assertTrue(lines().get(written).contains("CP2101"));
+        assertTrue(
+                lines().get(written + 1)
+                        .contains("\"lines\":" + (DecisionLog.QUEUE_LINES - written)));
     }
 
     @Test
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/EventsPageTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/EventsPageTest.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 import org.testng.annotations.Test;
 
-/** Holds the catalogue of events against the program. */
+/** Tests that the documented events match the program. */
 public class EventsPageTest {
 
     private static final Path PAGE =
             Path.of("").toAbsolutePath().getParent().resolve("docs/RELAY.md");
 
     @Test
-    public void everyEventStandsInThePageWithItsFields() throws IOException {
-        List<String> page =
+    public void everyEventIsDocumentedWithItsFields() throws IOException {
+        List<String> documented =
                 Files.readAllLines(PAGE).stream()
                         .filter(line -> line.startsWith("| `CP2"))
                         .map(
@@ -43,6 +43,6 @@
                                                         .collect(Collectors.joining(", ")))
                         .sorted()
                         .toList();
-        assertEquals(page.stream().sorted().toList(), program);
+        assertEquals(documented.stream().sorted().toList(), program);
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/settings/RelaySettingsReaderTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/settings/RelaySettingsReaderTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that settings are read, and that a bad file is refused with the key at fault. */
+/** Tests that settings are read and that an invalid file is rejected with the key at fault. */
 public class RelaySettingsReaderTest {
 
     private static final String GOOD =
@@ -68,14 +68,14 @@
         };
     }
 
-    /** A bound may be a fraction; a process that wants whole numbers does not start. */
+    /** Every number may be a fraction; a process that accepts only integers would not start. */
     @Test(dataProvider = "numbers")
     public void everyNumberMayBeAFraction(String line, String key) {
         String fraction = line.replaceAll("= .*", "= 0.75");
         assertTrue(RelaySettingsReader.parse(GOOD.replace(line, fraction)).isRight(), key);
     }
 
-    /** A value that no bound can have would start a process that retries or stops at random. */
+    /** A value out of range would start a process that retries or stops at random. */
     @Test(dataProvider = "numbers")
     public void numberThatMakesNoSenseIsRefusedWithItsKey(String line, String key) {
         String name = line.replaceAll(" =.*", "");
