--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -249,10 +249,10 @@
         mResponseStarted = true;
         long now = mRelay.clock().millis();
         mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
-        mRelay.board().answered(target(), latencySize(), now - mStartMillis, now);
+        mRelay.board().recordFirstByte(target(), latencySize(), now - mStartMillis, now);
         if (!mPrefilled) {
             mPrefilled = true;
-            mRelay.board().promptRead(target(), mRequest.caller().size());
+            mRelay.board().recordPrefillDone(target(), mRequest.caller().size());
         }
     }
 
@@ -309,7 +309,7 @@
         mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
         boolean ejected =
                 mRelay.board()
-                        .ended(
+                        .recordOutcome(
                                 target(),
                                 mRequest.caller().size(),
                                 mPrefilled,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerResponse.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerResponse.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.cyclamenpaddle.relay.retry.CallerReply;
-import org.cyclamenpaddle.relay.retry.EventTail;
+import org.cyclamenpaddle.relay.retry.EventFramer;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
 import org.cyclamenpaddle.relay.wire.BackendResponse;
 
@@ -31,7 +31,7 @@
     private final RetryAfter mRetryAfter;
     private final RetryPolicy mRetryPolicy;
     private final boolean mStreams;
-    private final EventTail mTail;
+    private final EventFramer mTail;
     private final ByteArrayOutputStream mBuffer = new ByteArrayOutputStream();
     private BackendResponse mHead;
     private long mFirstMillis = -1;
@@ -48,7 +48,7 @@
         mRetryAfter = retryAfter;
         mRetryPolicy = retryPolicy;
         mStreams = request.route().kind().streams();
-        mTail = new EventTail(request.caller().resumeAfter());
+        mTail = new EventFramer(request.caller().resumeAfter());
     }
 
     /**
@@ -86,14 +86,14 @@
 
     /** Discards the incomplete part of a response that another one replaces. */
     void discardPartial() {
-        mTail.dropRest();
+        mTail.discardPartialEvent();
         mBuffer.reset();
     }
 
     /** Completes the response. */
     void finish() {
         writeHead();
-        byte[] rest = mStreams ? mTail.takeRest() : mBuffer.toByteArray();
+        byte[] rest = mStreams ? mTail.takePartialEvent() : mBuffer.toByteArray();
         if (rest.length > 0) {
             mWriter.tryWrite(HttpData.wrap(rest));
         }
@@ -114,14 +114,14 @@
     void refuse(CallerReply reply, long minDelayMillis) {
         mStatus = reply.status();
         OptionalLong retryAfter =
-                reply.comeBack() ? OptionalLong.of(minDelayMillis) : OptionalLong.empty();
+                reply.hasRetryAfter() ? OptionalLong.of(minDelayMillis) : OptionalLong.empty();
         mWriter.tryWrite(mRetryAfter.refusal(mStatus, retryAfter));
         mWriter.close();
     }
 
     /** Returns the id of the last complete event that the caller was sent or already had. */
     Optional<String> lastEventId() {
-        return mTail.lastId();
+        return mTail.lastEventId();
     }
 
     /** Returns the longest pause within the response. */
@@ -167,7 +167,7 @@
         if (mRetryPolicy.isForwarding()) {
             return;
         }
-        mRetryPolicy.forwarding();
+        mRetryPolicy.beginForwarding();
         ResponseHeaders headers = HopByHopHeaders.strip(mHead.headers());
         mStatus = headers.status().code();
         mWriter.tryWrite(mRetryAfter.closeIfStopping(headers.toBuilder()).build());
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.relay.backend.TimedReport;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.routing.reservation.ReservationWait;
 
 /**
@@ -63,19 +63,19 @@
 
     private OptionalLong requiredTokensNow(Backend engine, ReservationWait wait) {
         long now = mRelay.clock().millis();
-        EngineShape shape = mRequest.engine().orElseThrow();
+        EngineProfile shape = mRequest.engine().orElseThrow();
         WorkSize size = mRequest.caller().size();
         TimedReport none = new TimedReport(new EngineReport(0, false, List.of()), now);
         TimedReport report = mRelay.board().report(engine, now).orElse(none);
         OptionalLong growth =
                 mRelay.demand()
-                        .room(
+                        .requiredFreeTokens(
                                 mRequest.service(),
                                 shape,
-                                report.report().work(shape.eventTokens()),
+                                report.report().runningWork(shape.tokensPerEvent()),
                                 report.ageMillis(now) + REPORT_DELAY_MILLIS,
                                 size);
-        long reserved = wait.tokensLeft(now, size.memoryTokens(), averageTokens());
+        long reserved = wait.headroomTokens(now, size.memoryTokens(), averageTokens());
         return growth.isPresent() ? OptionalLong.of(growth.getAsLong() + reserved) : growth;
     }
 
@@ -107,7 +107,10 @@
                 failure == null
                         ? mRelay.engineMessages().report(response)
                         : Either.left(String.valueOf(failure));
-        report.peek(decoded -> mRelay.board().reported(engine, decoded, mRelay.clock().millis()))
+        report.peek(
+                        decoded ->
+                                mRelay.board()
+                                        .recordReport(engine, decoded, mRelay.clock().millis()))
                 .peekLeft(cause -> mRelay.log().log(RelayEvent.REPORT_FAILED, engine.id(), cause));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -156,7 +156,7 @@
             return;
         }
         long now = mRelay.clock().millis();
-        mRelay.board().answered(mEngine, mRequest.caller().size(), now - mStartMillis, now);
+        mRelay.board().recordFirstByte(mEngine, mRequest.caller().size(), now - mStartMillis, now);
         end(SendOutcome.SUCCEEDED);
         mDone.accept(Optional.of(handle.get()));
     }
@@ -187,7 +187,7 @@
         long timeoutMillis = silenceTimeoutMillis();
         long maxMillis = (long) (mRequest.route().silenceMillis() * QUEUE_TIMEOUT_SHARE);
         long remainingMillis = mStartMillis + maxMillis - now;
-        boolean engineResponds = mRelay.board().answeredSince(mEngine, mStartMillis);
+        boolean engineResponds = mRelay.board().respondedSince(mEngine, mStartMillis);
         if (engineResponds && remainingMillis > 0) {
             mSilenceTimeout =
                     mLoop.schedule(
@@ -216,6 +216,6 @@
         mEnded = true;
         mSilenceTimeout.cancel(false);
         long now = mRelay.clock().millis();
-        mRelay.board().ended(mEngine, mRequest.caller().size(), false, outcome, now);
+        mRelay.board().recordOutcome(mEngine, mRequest.caller().size(), false, outcome, now);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -13,8 +13,8 @@
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.retry.CallerReply;
 import org.cyclamenpaddle.relay.retry.RetryDecision;
+import org.cyclamenpaddle.relay.retry.RetryLimits;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
-import org.cyclamenpaddle.relay.retry.RetryTerms;
 import org.cyclamenpaddle.relay.role.Demand;
 import org.cyclamenpaddle.relay.route.RouteKind;
 import org.cyclamenpaddle.relay.wire.BackendCall;
@@ -63,7 +63,7 @@
         mStartMillis = relay.clock().millis();
         long callerTimeoutMillis = request.caller().callerTimeoutMillis().orElse(Long.MAX_VALUE);
         mRetryPolicy =
-                new RetryPolicy(RetryTerms.of(request.route(), callerTimeoutMillis), mStartMillis);
+                new RetryPolicy(RetryLimits.of(request.route(), callerTimeoutMillis), mStartMillis);
         mResponse = new CallerResponse(writer, request, retryAfter, mRetryPolicy);
         mRequestLog = new RequestLog(relay, request, mRetryPolicy, mResponse, mStartMillis);
     }
@@ -71,9 +71,9 @@
     void start() {
         mRelay.budget().recordRequest(mRequest.service());
         if (mRequest.engine().isPresent()) {
-            mRelay.demand().begun(mRequest.service(), mRequest.caller().size());
+            mRelay.demand().recordStart(mRequest.service(), mRequest.caller().size());
         }
-        long remainingMillis = mRetryPolicy.leftMillis(mStartMillis);
+        long remainingMillis = mRetryPolicy.remainingMillis(mStartMillis);
         mTimeout = mLoop.schedule(this::timeOut, remainingMillis, TimeUnit.MILLISECONDS);
         selectBackend();
     }
@@ -84,7 +84,7 @@
             return;
         }
         mAttempt.ifPresent(BackendAttempt::cancel);
-        mRelay.metrics().callerGone();
+        mRelay.metrics().recordDisconnect();
         mRequestLog.callerDisconnected(mLastBackend);
         end();
     }
@@ -99,7 +99,7 @@
         }
         Optional<Backend> backend =
                 mRelay.board()
-                        .place(
+                        .select(
                                 mRequest.service(),
                                 mRequest.caller().size(),
                                 mTried,
@@ -122,7 +122,9 @@
         long now = mRelay.clock().millis();
         mPlacementMillis = now - mStartMillis;
         ReservationSearch.Placement placement = found.get();
-        mPrefillEngine = mRelay.board().reader(placement.backend(), mRequest.caller().size(), now);
+        mPrefillEngine =
+                mRelay.board()
+                        .selectPrefillEngine(placement.backend(), mRequest.caller().size(), now);
         if (mPrefillEngine.isEmpty()) {
             send(placement, Optional.empty());
             return;
@@ -135,7 +137,7 @@
                         handle -> prefillEnded(placement, handle));
         mPrefill = Optional.of(prefill);
         mPlacement = Optional.of(placement);
-        prefill.start(mLoop, mRetryPolicy.leftMillis(now));
+        prefill.start(mLoop, mRetryPolicy.remainingMillis(now));
     }
 
     private void prefillEnded(
@@ -160,7 +162,7 @@
 
     private void release(Backend backend) {
         mRelay.board()
-                .ended(
+                .recordOutcome(
                         backend,
                         mRequest.caller().size(),
                         true,
@@ -172,7 +174,7 @@
         Backend backend = placement.backend();
         mTried.add(backend.id());
         mLastBackend = Optional.of(backend);
-        mRetryPolicy.sending();
+        mRetryPolicy.beginSend();
         open(placement, prompt);
     }
 
@@ -181,12 +183,13 @@
         BackendCall call =
                 new BackendCall(
                         backend,
-                        mRetryPolicy.leftMillis(mRelay.clock().millis()),
+                        mRetryPolicy.remainingMillis(mRelay.clock().millis()),
                         false,
                         prompt,
                         placement.reservation(),
                         mResponse.lastEventId());
-        boolean retriableElsewhere = mRequest.route().repeatable() && mRetryPolicy.mayGoOn();
+        boolean retriableElsewhere =
+                mRequest.route().repeatable() && mRetryPolicy.hasAttemptsLeft();
         BackendAttempt attempt =
                 new BackendAttempt(
                         mRelay,
@@ -197,7 +200,7 @@
                                 mPrefillEngine.isPresent(),
                                 retriableElsewhere,
                                 connection(placement),
-                                mRetryPolicy::sentOnceMore),
+                                mRetryPolicy::recordDuplicateSend),
                         this::attemptEnded);
         mAttempt = Optional.of(attempt);
         attempt.start(mLoop);
@@ -236,13 +239,14 @@
      */
     private void rejectedDespiteReservation(Backend target) {
         if (mRequest.engine().isPresent()) {
-            mRelay.board().outdated(target, mRelay.clock().millis());
-            mFailedPrefillEngine.ifPresent(mRelay.board()::alive);
+            mRelay.board().recordOutdated(target, mRelay.clock().millis());
+            mFailedPrefillEngine.ifPresent(mRelay.board()::recordAlive);
         }
     }
 
     private boolean mayResumeOnSameEngine() {
-        return mRequest.engine().isPresent() && mRetryPolicy.mayGoOnHere(mRelay.clock().millis());
+        return mRequest.engine().isPresent()
+                && mRetryPolicy.mayResumeOnSameBackend(mRelay.clock().millis());
     }
 
     /**
@@ -266,7 +270,8 @@
                         result.reservation()
                                 .ifPresent(
                                         name -> ReserveCall.cancel(mRelay, attempt.target(), name));
-                    } else if (result.granted() && mRetryPolicy.goingOnHere(this::takeRetry)) {
+                    } else if (result.granted()
+                            && mRetryPolicy.resumeOnSameBackend(this::takeRetry)) {
                         mRequestLog.attemptEnded(
                                 attempt, SendOutcome.UNKNOWN, cause, RetryDecision.SEND_AGAIN);
                         openOnSameEngine(attempt, result.reservation());
@@ -280,11 +285,11 @@
     }
 
     private void openOnSameEngine(BackendAttempt attempt, Optional<String> reservation) {
-        mRelay.metrics().retried(SendOutcome.UNKNOWN);
+        mRelay.metrics().recordRetry(SendOutcome.UNKNOWN);
         mResponse.discardPartial();
         mPrefillEngine = Optional.empty();
-        mRelay.board().alive(attempt.target());
-        mRelay.board().placeAgain(attempt.target(), mRequest.caller().size());
+        mRelay.board().recordAlive(attempt.target());
+        mRelay.board().recordResend(attempt.target(), mRequest.caller().size());
         open(new ReservationSearch.Placement(attempt.target(), reservation), Optional.empty());
     }
 
@@ -300,29 +305,29 @@
         long now = mRelay.clock().millis();
         mFailedPrefillEngine = mPrefillEngine;
         mFailedPrefillEngine.ifPresent(
-                prefillEngine -> mRelay.board().resultLost(prefillEngine, now));
+                prefillEngine -> mRelay.board().recordPrefillResultLost(prefillEngine, now));
         mPrefillEngine = Optional.empty();
-        boolean again = mRetryPolicy.sendingHereAgain(now, this::takeRetry);
+        boolean again = mRetryPolicy.resendToSameBackend(now, this::takeRetry);
         if (!again) {
             retryOrFail(attempt, SendOutcome.REJECTED, cause);
             return;
         }
         mRequestLog.attemptEnded(attempt, SendOutcome.REJECTED, cause, RetryDecision.SEND_AGAIN);
-        mRelay.metrics().retried(SendOutcome.REJECTED);
-        mRelay.board().placeAgain(attempt.target(), mRequest.caller().size());
+        mRelay.metrics().recordRetry(SendOutcome.REJECTED);
+        mRelay.board().recordResend(attempt.target(), mRequest.caller().size());
         open(new ReservationSearch.Placement(attempt.target(), Optional.empty()), Optional.empty());
     }
 
     private void retryOrFail(BackendAttempt attempt, SendOutcome outcome, String cause) {
         RetryDecision decision =
-                mRetryPolicy.ended(outcome, mRelay.clock().millis(), this::takeRetry);
+                mRetryPolicy.endSend(outcome, mRelay.clock().millis(), this::takeRetry);
         if (decision == RetryDecision.PASS_ON) {
             complete();
             return;
         }
         mRequestLog.attemptEnded(attempt, outcome, cause, decision);
         if (decision == RetryDecision.SEND_AGAIN) {
-            mRelay.metrics().retried(outcome);
+            mRelay.metrics().recordRetry(outcome);
             mResponse.discardPartial();
             selectBackend();
         } else {
@@ -351,7 +356,7 @@
     private void complete() {
         mResponse.finish();
         recordDemand();
-        mRelay.metrics().answered(mRequest.route().kind(), mRequestLog.elapsedMillis());
+        mRelay.metrics().recordResponse(mRequest.route().kind(), mRequestLog.elapsedMillis());
         mRequestLog.completed(mLastBackend, mPrefillEngine, mPlacementMillis);
         end();
     }
@@ -361,11 +366,11 @@
         boolean complete = mRequest.caller().resumeAfter().isEmpty() && mResponse.status() < 300;
         if (mRequest.engine().isPresent() && first >= 0 && complete) {
             WorkSize size = mRequest.caller().size();
-            long outputTokens = mResponse.events() * mRequest.engine().get().eventTokens();
+            long outputTokens = mResponse.events() * mRequest.engine().get().tokensPerEvent();
             Demand demand =
                     new Demand(
                             size.promptTokens(), outputTokens, mRequestLog.elapsedMillis() - first);
-            mRelay.demand().ended(mRequest.service(), size, demand);
+            mRelay.demand().recordEnd(mRequest.service(), size, demand);
         }
     }
 
@@ -389,7 +394,7 @@
             mResponse.refuse(reply, mRequest.minRetryDelayMillis(mRelay.demand()));
             mRequestLog.failed(reply, reason);
         }
-        mRelay.metrics().refused(reply);
+        mRelay.metrics().recordRefusal(reply);
         end();
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -70,7 +70,7 @@
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
         OptionalLong timeout = request.caller().callerTimeoutMillis();
         if (sentBefore) {
-            return RetryStage.REPEAT;
+            return RetryStage.RETRY;
         }
         ReservationWait first =
                 ReservationWait.begin(nowMillis, request.route().terms(), RetryStage.FIRST);
@@ -80,12 +80,12 @@
                         && relay.returningClients()
                                 .read(
                                         callers ->
-                                                callers.comesBack(
+                                                callers.isReturning(
                                                         request.route().name(),
                                                         timeout.getAsLong(),
                                                         delayMillis,
                                                         nowMillis));
-        return returns ? RetryStage.COME_BACK : RetryStage.FIRST;
+        return returns ? RetryStage.RETURNING : RetryStage.FIRST;
     }
 
     /**
@@ -96,10 +96,10 @@
         Optional<Backend> selected =
                 mReservePacing.pauseIsDue()
                         ? Optional.empty()
-                        : mRelay.board().place(mRequest.service(), size(), mAvoid, now);
+                        : mRelay.board().select(mRequest.service(), size(), mAvoid, now);
         if (selected.isPresent()) {
             reserve(selected.get());
-        } else if (!mReservationWait.mayGoOn(now)) {
+        } else if (!mReservationWait.mayRetry(now)) {
             mClosed = true;
             mListener.found(Optional.empty());
         } else {
@@ -174,8 +174,8 @@
         mPending = Optional.empty();
         release(engine, result.outcome());
         if (result.full()) {
-            mRelay.board().full(engine, mRelay.clock().millis());
-            mReservePacing.turnedAway();
+            mRelay.board().recordFull(engine, mRelay.clock().millis());
+            mReservePacing.rejected();
         } else {
             mAvoid.add(engine.id());
             mRelay.log().log(
@@ -188,7 +188,7 @@
     }
 
     private void release(Backend engine, SendOutcome outcome) {
-        mRelay.board().ended(engine, size(), false, outcome, mRelay.clock().millis());
+        mRelay.board().recordOutcome(engine, size(), false, outcome, mRelay.clock().millis());
     }
 
     private WorkSize size() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -69,7 +69,7 @@
             Consumer<Result> done) {
         ReserveCall call = new ReserveCall(relay, request, loop, engine);
         long tokens = request.caller().size().memoryTokens();
-        long holdMillis = request.engine().orElseThrow().reserveMillis();
+        long holdMillis = request.engine().orElseThrow().maxReservationMillis();
         call.requestReservation(tokens, holdMillis, true).thenAcceptAsync(done, loop);
     }
 
