--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -60,7 +60,7 @@
 
     /** Counts a caller's request. */
     public void recordRequest(ServiceName service) {
-        mBudget.write(budget -> budget.freshRequest(service, mClock.millis()));
+        mBudget.write(budget -> budget.recordRequest(service, mClock.millis()));
     }
 
     /** Takes one retry from the budget and returns whether there was one. */
