--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.relay.backend;
 
 import java.util.List;
-import org.cyclamenpaddle.routing.memory.RunningWork;
+import org.cyclamenpaddle.routing.memory.RunningGeneration;
 
 /**
  * What an engine says of itself, as of some hundred milliseconds ago.
@@ -30,9 +30,9 @@
      *
      * @param eventTokens tokens that an event stands for
      */
-    public List<RunningWork> work(int eventTokens) {
+    public List<RunningGeneration> work(int eventTokens) {
         return runs.stream()
-                .map(run -> new RunningWork(run.heldTokens(), run.events() * eventTokens))
+                .map(run -> new RunningGeneration(run.heldTokens(), run.events() * eventTokens))
                 .toList();
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -70,7 +70,7 @@
                                 report.report().work(shape.eventTokens()),
                                 report.ageMillis(now) + BORN_OLD_MILLIS,
                                 size);
-        long left = wait.tokensLeft(now, size.memoryTokens(), usualTokens());
+        long left = wait.headroomTokens(now, size.memoryTokens(), usualTokens());
         return room.isPresent() ? OptionalLong.of(room.getAsLong() + left) : room;
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -70,7 +70,7 @@
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
         OptionalLong waits = request.caller().callerMillis();
         if (sentBefore) {
-            return RetryStage.REPEAT;
+            return RetryStage.RETRY;
         }
         ReservationWait first =
                 ReservationWait.begin(nowMillis, request.route().terms(), RetryStage.FIRST);
@@ -80,12 +80,12 @@
                         && relay.callers()
                                 .read(
                                         callers ->
-                                                callers.comesBack(
+                                                callers.isReturning(
                                                         request.route().name(),
                                                         waits.getAsLong(),
                                                         spent,
                                                         nowMillis));
-        return comesBack ? RetryStage.COME_BACK : RetryStage.FIRST;
+        return comesBack ? RetryStage.RETURNING : RetryStage.FIRST;
     }
 
     /** Asks the best engine that has not just said that it is full, or pauses before it does. */
@@ -97,7 +97,7 @@
                         : mRelay.board().place(mRequest.service(), size(), mAvoid, now);
         if (chosen.isPresent()) {
             ask(chosen.get());
-        } else if (!mReservationWait.mayGoOn(now)) {
+        } else if (!mReservationWait.mayRetry(now)) {
             mClosed = true;
             mListener.found(Optional.empty());
         } else {
@@ -172,7 +172,7 @@
         giveBack(runner, answer.outcome());
         if (answer.full()) {
             mRelay.board().full(runner, mRelay.clock().millis());
-            mReservePacing.turnedAway();
+            mReservePacing.rejected();
         } else {
             mAvoid.add(runner.id());
             mRelay.log().log(
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -62,7 +62,7 @@
 
     /** Takes one repeat and returns whether there was one. */
     public boolean tryTake(ServiceName service) {
-        return mBudget.read(budget -> budget.tryTake(service, mClock.millis()));
+        return mBudget.read(budget -> budget.tryAcquire(service, mClock.millis()));
     }
 
     private RetryBudget.Settings settings(int hosts) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
@@ -10,10 +10,10 @@
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.route.EngineShape;
-import org.cyclamenpaddle.routing.memory.EngineWork;
+import org.cyclamenpaddle.routing.memory.EngineGenerations;
 import org.cyclamenpaddle.routing.memory.MemoryForecast;
 import org.cyclamenpaddle.routing.memory.OutputLengths;
-import org.cyclamenpaddle.routing.memory.RunningWork;
+import org.cyclamenpaddle.routing.memory.RunningGeneration;
 
 /** What each service's generations ask of engines, as this host has seen them; thread-safe. */
 public final class DemandMeter {
@@ -49,7 +49,7 @@
 
     /** Takes in a generation that has arrived. */
     public void begun(ServiceName service, WorkSize size) {
-        mSeen.write(seen -> of(seen, service).mLengths.begun(size.asNewWork()));
+        mSeen.write(seen -> of(seen, service).mLengths.started(size.asNewWork()));
     }
 
     /**
@@ -79,7 +79,7 @@
 
     /**
      * Returns the tokens that must be free at an engine beside a new generation's place; see {@link
-     * MemoryForecast#room}.
+     * MemoryForecast#requiredFreeTokens}.
      *
      * @param service the service
      * @param shape of its engines
@@ -90,15 +90,16 @@
     public OptionalLong room(
             ServiceName service,
             EngineShape shape,
-            List<RunningWork> runs,
+            List<RunningGeneration> runs,
             long reportMillis,
             WorkSize size) {
         return mSeen.read(
                 seen -> {
                     Seen known = of(seen, service);
                     long since = Math.round(known.mMean.pace() * reportMillis);
-                    return known.mOutlook.room(
-                            new EngineWork(shape.memoryTokens(), runs, since), size.asNewWork());
+                    return known.mOutlook.requiredFreeTokens(
+                            new EngineGenerations(shape.memoryTokens(), runs, since),
+                            size.asNewWork());
                 });
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -140,7 +140,7 @@
 
     private boolean takeRetry(OpenCall call) {
         synchronized (mBudget) {
-            return mBudget.tryTake(call.service().name(), mClock.millis());
+            return mBudget.tryAcquire(call.service().name(), mClock.millis());
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
@@ -124,7 +124,10 @@
         }
         return mBlackboard
                 .grants()
-                .read(ledgers -> ledger(ledgers, spec.get(), role.get()).ask(ask, mClock.millis()));
+                .read(
+                        ledgers ->
+                                ledger(ledgers, spec.get(), role.get())
+                                        .request(ask, mClock.millis()));
     }
 
     /** Takes back room. */
@@ -136,7 +139,7 @@
                                 kept(ledgers, end.backend())
                                         .forEach(
                                                 ledger ->
-                                                        ledger.end(
+                                                        ledger.release(
                                                                 end.attempt(), mClock.millis())));
     }
 
@@ -287,7 +290,7 @@
                                         .write(
                                                 ledgers ->
                                                         ledger(ledgers, spec, role)
-                                                                .respecify(spec)));
+                                                                .updateSpec(spec)));
     }
 
     /** Registers what this host holds when a ledger has another owner than before. */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -21,7 +21,7 @@
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.routing.admission.Admission;
-import org.cyclamenpaddle.routing.admission.GrantAsks;
+import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.placement.BackendView;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.CostFactors;
@@ -145,14 +145,14 @@
     }
 
     @Override
-    public GrantAsk prefillAsk(
+    public GrantAsk prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft) {
-        return GrantAsks.DEFAULTS.prefill(
+        return GrantRequestFactory.DEFAULTS.prefill(
                 attempt, request(shape, generated, millisLeft), candidate(choice), millisLeft);
     }
 
     @Override
-    public GrantAsk decodeAsk(
+    public GrantAsk decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
@@ -166,21 +166,21 @@
         BackendSpec source = backends.get(prefill);
         if (decode == null || source == null) {
             // Deleted since it was ranked; its owner will refuse.
-            return GrantAsks.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
+            return GrantRequestFactory.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
         }
-        return GrantAsks.DEFAULTS.decode(
+        return GrantRequestFactory.DEFAULTS.decode(
                 attempt, request, decode, source, prefillEndInMillis, millisLeft);
     }
 
     @Override
-    public boolean mayRetry(RequestShape shape, RetryReason reason, long now) {
+    public boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now) {
         synchronized (mRetries) {
-            return mRetries.tryTake(shape.service(), now);
+            return mRetries.tryAcquire(shape.service(), now);
         }
     }
 
     @Override
-    public void backendUnreached(BackendId backend, long now) {
+    public void backendUnreachable(BackendId backend, long now) {
         mLosses.unreached(backend, now);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -66,7 +66,7 @@
     }
 
     void callerGone() {
-        feed(mMachine::onCallerGone);
+        feed(mMachine::onCallerDisconnected);
     }
 
     private void feed(LongFunction<List<RequestEffect>> event) {
@@ -81,12 +81,12 @@
     }
 
     @Override
-    public void askGrant(RequestEffect.AskGrant effect) {
-        mJournal.asked(effect.ask());
-        mServices.blackboard().requests().write(table -> table.asked(effect.ask()));
+    public void requestGrant(RequestEffect.RequestGrant effect) {
+        mJournal.asked(effect.request());
+        mServices.blackboard().requests().write(table -> table.asked(effect.request()));
         mServices
                 .grants()
-                .ask(effect.ask())
+                .ask(effect.request())
                 .thenAccept(
                         answer -> {
                             mJournal.granted(answer);
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void endGrant(RequestEffect.EndGrant effect) {
+    public void releaseGrant(RequestEffect.ReleaseGrant effect) {
         mServices.blackboard().requests().write(table -> table.released(effect.attempt()));
         mServices.grants().end(effect.attempt(), effect.backend());
     }
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void countWaste(RequestEffect.CountWaste effect) {
+    public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
         mServices.metrics().prefillWasted(mShape.service(), effect.tokens());
     }
 
--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -66,7 +66,7 @@
             BackendSpec spec = spec(i);
             GrantLedger ledger = new GrantLedger(spec, BackendRole.DECODE, LedgerSettings.DEFAULTS);
             for (int held = 0; held < SLOTS * 3 / 2; held++) {
-                ledger.ask(ask(spec.id(), 20_000), -mRandom.nextInt((int) HOLD_MILLIS));
+                ledger.request(ask(spec.id(), 20_000), -mRandom.nextInt((int) HOLD_MILLIS));
             }
             mLedgers.add(ledger);
             LedgerSummary hint = ledger.summary(0);
@@ -98,8 +98,8 @@
     public GrantAnswer ask() {
         int turn = (int) (mNumber % mRunners);
         GrantAsk ask = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
-        GrantAnswer answer = mLedgers.get(turn).ask(ask, 0);
-        mLedgers.get(turn).end(ask.attempt(), -1);
+        GrantAnswer answer = mLedgers.get(turn).request(ask, 0);
+        mLedgers.get(turn).release(ask.attempt(), -1);
         return answer;
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantAsks.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
@@ -21,12 +21,12 @@
  * @param workMarginMillis time kept back for prefill and transfer that take longer
  * @param slotMarginMillis time kept back for slots that come late
  */
-public record GrantAsks(long workMarginMillis, long slotMarginMillis) {
+public record GrantRequestFactory(long workMarginMillis, long slotMarginMillis) {
 
     /** Margins of a few round trips between hosts. */
-    public static final GrantAsks DEFAULTS = new GrantAsks(30, 80);
+    public static final GrantRequestFactory DEFAULTS = new GrantRequestFactory(30, 80);
 
-    public GrantAsks {
+    public GrantRequestFactory {
         if (workMarginMillis < 0 || slotMarginMillis < workMarginMillis) {
             throw new IllegalArgumentException(
                     "margins are contradictory: work "
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
 import org.cyclamenpaddle.routing.admission.Admitted;
-import org.cyclamenpaddle.routing.admission.GrantAsks;
+import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
@@ -21,7 +21,7 @@
     private static final int MOST_ASKS = 4;
     private static final int MOST_MOVES = 4;
     private static final long RETRY_MILLIS = 10;
-    private static final GrantAsks ASKS = GrantAsks.DEFAULTS;
+    private static final GrantRequestFactory ASKS = GrantRequestFactory.DEFAULTS;
 
     private final ExperimentRun mRun;
     private final Workload.Request mRequest;
@@ -135,7 +135,8 @@
         loop.after(
                 Scenario.HOP_MILLIS,
                 () -> {
-                    GrantAnswer answer = mRun.cluster().ledger(ask.backend()).ask(ask, loop.now());
+                    GrantAnswer answer =
+                            mRun.cluster().ledger(ask.backend()).request(ask, loop.now());
                     loop.after(
                             Scenario.HOP_MILLIS,
                             () -> {
@@ -151,7 +152,7 @@
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
             GrantAsk ask =
                     decodeAsk(candidate.backend(), prefill.backend(), prefill.predictedMillis());
-            if (share.ask(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
+            if (share.request(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
                 mDecodeServer = Optional.of(candidate.backend());
                 return true;
             }
@@ -309,13 +310,13 @@
         } else if (mRun.strategy().reservesDecode()) {
             mDecodeServer
                     .flatMap(server -> mRun.cluster().share(mHost, server))
-                    .ifPresent(share -> share.end(mAttempt, mRun.loop().now()));
+                    .ifPresent(share -> share.release(mAttempt, mRun.loop().now()));
         }
     }
 
     private void end(GrantLedger ledger) {
         EventLoop loop = mRun.loop();
-        loop.after(Scenario.HOP_MILLIS, () -> ledger.end(mAttempt, loop.now()));
+        loop.after(Scenario.HOP_MILLIS, () -> ledger.release(mAttempt, loop.now()));
     }
 
     private long left() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -65,7 +65,7 @@
      * @param ask an ask for this backend server
      * @param nowMillis reading of the clock
      */
-    public GrantAnswer ask(GrantAsk ask, long nowMillis) {
+    public GrantAnswer request(GrantAsk ask, long nowMillis) {
         requireOwn(ask);
         Reservation held = mHeld.get(ask.attempt());
         if (held != null) {
@@ -97,14 +97,14 @@
      * @param attempt the attempt
      * @param nowMillis reading of the clock
      */
-    public void end(AttemptId attempt, long nowMillis) {
+    public void release(AttemptId attempt, long nowMillis) {
         Reservation held = mHeld.get(attempt);
         if (held != null && held.begun(nowMillis)) {
             mPlan.ended(held, nowMillis);
         }
-        release(attempt);
+        remove(attempt);
         mEnded.add(attempt);
-        if (mEnded.size() > mSettings.endedKept()) {
+        if (mEnded.size() > mSettings.maxEndedAttempts()) {
             mEnded.remove(mEnded.iterator().next());
         }
     }
@@ -124,7 +124,7 @@
             return;
         }
         boolean seen = known && mHeld.get(held.attempt()).seen();
-        release(held.attempt());
+        remove(held.attempt());
         long start = nowMillis + Math.max(0, held.neededInMillis());
         hold(held, new Interval(start, start + held.holdMillis()), seen);
     }
@@ -155,7 +155,7 @@
                         .filter(held -> held.seen() || neverStarted(held, nowMillis))
                         .map(Reservation::attempt)
                         .toList();
-        gone.forEach(this::release);
+        gone.forEach(this::remove);
         running.values().forEach(seen -> count(seen, nowMillis));
         mObserved = true;
     }
@@ -192,7 +192,7 @@
      *
      * @param spec the declaration; other rates than before need a new ledger
      */
-    public void respecify(BackendSpec spec) {
+    public void updateSpec(BackendSpec spec) {
         Invariants.require(
                 spec.id().equals(mSpec.id()),
                 () -> "ledger of " + mSpec.id() + " got " + spec.id());
@@ -240,7 +240,7 @@
         mHeld.put(ask.attempt(), reservation);
     }
 
-    private void release(AttemptId attempt) {
+    private void remove(AttemptId attempt) {
         mPlan.release(attempt);
         mHeld.remove(attempt);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
@@ -29,7 +29,7 @@
 
     SlotPlan(BackendSpec spec, LedgerSettings settings) {
         mSpec = spec;
-        mCaution = new Caution(settings.deviations());
+        mCaution = new Caution(settings.safetyDeviations());
     }
 
     @Override
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -94,7 +94,7 @@
             BackendId backend, Collection<Long> fingerprints, long nowMillis) {
         forgetExpired(nowMillis);
         Set<Long> distinct = new HashSet<>(fingerprints);
-        long until = nowMillis + mSettings.keepMillis();
+        long until = nowMillis + mSettings.retentionMillis();
         distinct.forEach(fingerprint -> strike(fingerprint, Set.of(backend), until));
         bound();
         return distinct.stream()
@@ -114,7 +114,7 @@
         if (notice.remainingMillis() <= 0 || notice.struck().isEmpty()) {
             return;
         }
-        long remaining = Math.min(notice.remainingMillis(), mSettings.keepMillis());
+        long remaining = Math.min(notice.remainingMillis(), mSettings.retentionMillis());
         strike(notice.fingerprint(), notice.struck(), nowMillis + remaining);
         bound();
     }
@@ -186,7 +186,7 @@
     }
 
     private void bound() {
-        while (mStrikes.size() > mSettings.mostFingerprints()) {
+        while (mStrikes.size() > mSettings.maxFingerprints()) {
             mStrikes.entrySet().stream()
                     .min(LEAST_TELLING_FIRST)
                     .map(Map.Entry::getKey)
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -154,13 +154,15 @@
     private Optional<GrantAsk> prefillAsk(Choice choice, int generated, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
         mPrefill = Optional.of(new Placed(attempt, choice, now + choice.predictedMillis()));
-        return asked(mEnvironment.prefillAsk(attempt, mShape, generated, choice, mPlaceBy - now));
+        return asked(
+                mEnvironment.prefillGrantRequest(
+                        attempt, mShape, generated, choice, mPlaceBy - now));
     }
 
     private Optional<GrantAsk> decodeAsk(Choice choice, int generated, long endIn, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
         GrantAsk ask =
-                mEnvironment.decodeAsk(
+                mEnvironment.decodeGrantRequest(
                         attempt,
                         mShape,
                         generated,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -53,7 +53,7 @@
      * @param generated tokens already sent to the caller
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk prefillAsk(
+    GrantAsk prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft);
 
     /**
@@ -64,7 +64,7 @@
      * @param prefillEndInMillis when prefill and transfer are expected to have ended
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk decodeAsk(
+    GrantAsk decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
@@ -74,10 +74,10 @@
             long millisLeft);
 
     /** Takes one retry from the service's budget; returns whether there was one. */
-    boolean mayRetry(RequestShape shape, RetryReason reason, long now);
+    boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now);
 
     /** Notes that no new connection to a backend server could be had; it is ranked last. */
-    void backendUnreached(BackendId backend, long now);
+    void backendUnreachable(BackendId backend, long now);
 
     /**
      * Notes that a backend server died, or lost its state, while it ran this request.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -89,7 +89,7 @@
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (!isAsked(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
-                mEffects.add(new RequestEffect.EndGrant(answer.attempt(), answer.backend()));
+                mEffects.add(new RequestEffect.ReleaseGrant(answer.attempt(), answer.backend()));
             }
         } else if (!granted) {
             mOpen.grantRefused(answer.attempt());
@@ -179,7 +179,7 @@
     }
 
     /** Takes note that the caller has gone, at any step. */
-    public List<RequestEffect> onCallerGone(long now) {
+    public List<RequestEffect> onCallerDisconnected(long now) {
         if (mPhase != RequestPhase.DONE) {
             end(
                     new RequestEffect.Refuse(
@@ -225,7 +225,7 @@
     private void askGrant(GrantAsk ask) {
         // Held from the ask on: the owner may have granted although its answer is lost.
         mOpen.openGrant(ask.attempt(), ask.backend());
-        mEffects.add(new RequestEffect.AskGrant(ask));
+        mEffects.add(new RequestEffect.RequestGrant(ask));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
@@ -423,7 +423,7 @@
      */
     private void noteFailure(Placed placed, StepFailure failure, boolean died, long now) {
         if (failure == StepFailure.UNREACHABLE) {
-            mEnvironment.backendUnreached(placed.backend(), now);
+            mEnvironment.backendUnreachable(placed.backend(), now);
         }
         if (died) {
             mEnvironment.backendDied(mShape, placed.backend(), now);
@@ -449,7 +449,7 @@
                             mPlacements + " placements failed, the last by " + reason.code()));
             return false;
         }
-        if (!mEnvironment.mayRetry(mShape, reason, now)) {
+        if (!mEnvironment.tryAcquireRetry(mShape, reason, now)) {
             endRefused(Refusal.of(RefusalReason.RETRY_BUDGET_EMPTY, reason.code()));
             return false;
         }
@@ -474,7 +474,7 @@
 
     private void countWaste() {
         if (mUnusedTokens > 0) {
-            mEffects.add(new RequestEffect.CountWaste(mUnusedTokens));
+            mEffects.add(new RequestEffect.CountWastedPrefill(mUnusedTokens));
             mUnusedTokens = 0;
         }
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantAsksTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantAsksTest.java
@@ -13,7 +13,7 @@
 
 public class GrantAsksTest {
 
-    private static final GrantAsks ASKS = new GrantAsks(30, 80);
+    private static final GrantRequestFactory ASKS = new GrantRequestFactory(30, 80);
     private static final long TRANSFER = 10;
     private static final long TOKEN = 20;
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -75,8 +75,8 @@
 
     private void ask(int number) {
         GrantAsk ask = decodeAsk(number, mRandom.nextInt(150), LATEST, 1_000);
-        GrantAnswer answer = mLedger.ask(ask, now());
-        GrantAnswer again = mLedger.ask(ask, now());
+        GrantAnswer answer = mLedger.request(ask, now());
+        GrantAnswer again = mLedger.request(ask, now());
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (granted) {
             assertEquals(again, answer, "asked twice");
@@ -128,17 +128,19 @@
     }
 
     private void end(AttemptId attempt) {
-        mLedger.end(attempt, now());
+        mLedger.release(attempt, now());
         mEnded.add(attempt);
         assertEquals(
-                mLedger.ask(again(attempt), now()).decision(), GrantDecision.UNAVAILABLE, "ended");
+                mLedger.request(again(attempt), now()).decision(),
+                GrantDecision.UNAVAILABLE,
+                "ended");
     }
 
     private void changeOwner() {
         mLedger = newLedger();
         mLedger.recoverUntil(now() + 500);
         assertEquals(
-                mLedger.ask(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
+                mLedger.request(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
         for (GrantAsk ask : new ArrayList<>(mGranted.values())) {
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public GrantAsk prefillAsk(
+        public GrantAsk prefillGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public GrantAsk decodeAsk(
+        public GrantAsk decodeGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -176,12 +176,12 @@
         }
 
         @Override
-        public boolean mayRetry(RequestShape shape, RetryReason reason, long now) {
+        public boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now) {
             return mRandom.nextInt(20) != 0;
         }
 
         @Override
-        public void backendUnreached(BackendId backend, long now) {
+        public void backendUnreachable(BackendId backend, long now) {
             // The exclusion set of the machine is enough here.
         }
 
