--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/Admission.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/Admission.java
@@ -13,10 +13,11 @@
 import org.cyclamenpaddle.routing.placement.PlacementView;
 
 /**
- * Admits a request only if its first token can come in time.
+ * Admits a request only if its first token can be produced before its deadline.
  *
- * <p>Safeguard: under overload a queue that takes everything makes every request late. What can't
- * be met is refused at once, before any prefill, so that what is admitted is still in time.
+ * <p>Safeguard: under overload an admission queue that accepts everything makes every request late.
+ * A request whose deadline cannot be met is refused at once, before any prefill, so that admitted
+ * requests are still in time.
  */
 public final class Admission {
 
@@ -24,10 +25,10 @@
     private final AdmissionSettings mSettings;
 
     /**
-     * Creates the decision.
+     * Creates an admission control.
      *
-     * @param policy how candidates are ordered
-     * @param settings margins
+     * @param policy how candidates are ranked
+     * @param settings safety margin and bounds of the retry delay
      */
     public Admission(PlacementPolicy policy, AdmissionSettings settings) {
         mPolicy = policy;
@@ -37,8 +38,8 @@
     /**
      * Admits or refuses a request.
      *
-     * @param request the request; {@code millisLeft} is what is left until the first token is due
-     * @param view what this host knows
+     * @param request the request; {@code millisLeft} is the time left until the first token is due
+     * @param view this host's view of the backend servers
      * @param random source of random numbers
      */
     public Either<Refusal, Admitted> admit(
@@ -46,46 +47,46 @@
         if (!anyUsable(view.prefill()) || !anyUsable(view.decode())) {
             return Either.left(Refusal.of(RefusalReason.NO_BACKEND, ""));
         }
-        int most = Math.min(mostPieces(view.prefill()), mostPieces(view.decode()));
-        if (request.pieces() > most) {
-            return Either.left(tooLong(request, most));
+        int maxPieces = Math.min(maxPieces(view.prefill()), maxPieces(view.decode()));
+        if (request.pieces() > maxPieces) {
+            return Either.left(promptTooLong(request, maxPieces));
         }
         List<Candidate> prefill = mPolicy.rankPrefill(request, view, random);
         long prefillEnd = prefill.get(0).predictedMillis();
         List<Candidate> decode = mPolicy.rankDecode(request, view, random, prefillEnd);
-        long best = best(decode);
-        if (best + mSettings.marginMillis() > request.millisLeft()) {
-            return Either.left(unreachable(request, best));
+        long firstToken = earliestMillis(decode);
+        if (firstToken + mSettings.marginMillis() > request.millisLeft()) {
+            return Either.left(unreachable(request, firstToken));
         }
-        return Either.right(new Admitted(prefill, decode, best));
+        return Either.right(new Admitted(prefill, decode, firstToken));
     }
 
     /**
-     * Returns the refusal of a request whose first token can't come in time.
+     * Returns the refusal of a request whose first token would miss its deadline.
      *
      * @param request the request
      * @param firstTokenInMillis predicted time to its first token, from now
      */
     public Refusal unreachable(PlacementRequest request, long firstTokenInMillis) {
-        long late = firstTokenInMillis + mSettings.marginMillis() - request.millisLeft();
-        long wait =
+        long excess = firstTokenInMillis + mSettings.marginMillis() - request.millisLeft();
+        long retryAfter =
                 Math.min(
                         mSettings.maxRetryAfterMillis(),
-                        Math.max(mSettings.minRetryAfterMillis(), late));
+                        Math.max(mSettings.minRetryAfterMillis(), excess));
         String detail =
                 "the first token is predicted in "
                         + firstTokenInMillis
                         + " ms, and "
                         + request.millisLeft()
                         + " ms are left";
-        return new Refusal(RefusalReason.DEADLINE_UNREACHABLE, detail, wait);
+        return new Refusal(RefusalReason.DEADLINE_UNREACHABLE, detail, retryAfter);
     }
 
     private static boolean anyUsable(List<BackendView> servers) {
         return servers.stream().anyMatch(BackendView::usable);
     }
 
-    private static int mostPieces(List<BackendView> servers) {
+    private static int maxPieces(List<BackendView> servers) {
         return servers.stream()
                 .filter(BackendView::usable)
                 .mapToInt(server -> server.spec().memoryPieces())
@@ -93,19 +94,19 @@
                 .orElse(0);
     }
 
-    private static long best(List<Candidate> candidates) {
+    private static long earliestMillis(List<Candidate> candidates) {
         return candidates.stream()
                 .min(Comparator.comparingLong(Candidate::predictedMillis))
                 .map(Candidate::predictedMillis)
                 .orElse(Long.MAX_VALUE);
     }
 
-    private static Refusal tooLong(PlacementRequest request, int most) {
+    private static Refusal promptTooLong(PlacementRequest request, int maxPieces) {
         String detail =
                 "it needs "
                         + request.pieces()
                         + " memory pieces, and the largest engine has "
-                        + most;
+                        + maxPieces;
         return Refusal.of(RefusalReason.PROMPT_TOO_LONG, detail);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/AdmissionSettings.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/AdmissionSettings.java
@@ -3,14 +3,14 @@
 /**
  * Settings of {@link Admission}.
  *
- * @param marginMillis time kept back for what predictions leave out
- * @param minRetryAfterMillis shortest wait said to a caller
- * @param maxRetryAfterMillis longest wait said to a caller
+ * @param marginMillis safety margin for what the predictions do not cover
+ * @param minRetryAfterMillis minimum retry delay sent to a caller
+ * @param maxRetryAfterMillis maximum retry delay sent to a caller
  */
 public record AdmissionSettings(
         long marginMillis, long minRetryAfterMillis, long maxRetryAfterMillis) {
 
-    /** Values for engines that make a token in some tens of milliseconds. */
+    /** Defaults for engines that generate a token in some tens of milliseconds. */
     public static final AdmissionSettings DEFAULTS = new AdmissionSettings(10, 500, 10_000);
 
     public AdmissionSettings {
@@ -18,7 +18,7 @@
                 || minRetryAfterMillis < 1
                 || maxRetryAfterMillis < minRetryAfterMillis) {
             throw new IllegalArgumentException(
-                    "admission times are contradictory: margin "
+                    "invalid admission times in ms: margin "
                             + marginMillis
                             + ", retry after "
                             + minRetryAfterMillis
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/Admitted.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/Admitted.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.routing.placement.Candidate;
 
 /**
- * An admitted request and where it may run.
+ * An admitted request with its ranked candidates.
  *
  * @param prefill prefill servers, best first; never empty
  * @param decode decode servers for the best prefill server, best first; never empty
@@ -16,7 +16,8 @@
         prefill = List.copyOf(prefill);
         decode = List.copyOf(decode);
         if (prefill.isEmpty() || decode.isEmpty()) {
-            throw new IllegalArgumentException("an admitted request needs candidates");
+            throw new IllegalArgumentException(
+                    "an admitted request needs prefill and decode candidates");
         }
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
@@ -9,17 +9,18 @@
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
 
 /**
- * Words the asks for grants of one request, so that what they bound leads to a first token in time.
+ * Creates the grant requests of one request, bounded such that the first token meets its deadline.
  *
- * <p>Safeguard: a promised slot can come some 10 ms late, since it rests on the expected ends of
- * other attempts. With no margin each late one would make the first token late as well, and the
- * request would use its slot in vain.
+ * <p>Safeguard: a promised slot can become free some 10 ms late, since the promise rests on the
+ * expected ends of other attempts. Without a safety margin each late slot would delay the first
+ * token past its deadline as well, and the request would use its slot without benefit.
  *
- * <p>A request whose prompt leaves no time for that margin may still have a slot that is free
- * exactly when it is needed; refusing it would be certain, its lateness is not.
+ * <p>A request whose prompt leaves no time for that margin may still get a slot that is free
+ * exactly when it is needed: refusing it would certainly fail it, while the slot may well be on
+ * time.
  *
- * @param workMarginMillis time kept back for prefill and transfer that take longer
- * @param slotMarginMillis time kept back for slots that come late
+ * @param workMarginMillis safety margin for prefill and transfer that take longer than predicted
+ * @param slotMarginMillis safety margin for slots that become free late
  */
 public record GrantRequestFactory(long workMarginMillis, long slotMarginMillis) {
 
@@ -29,7 +30,7 @@
     public GrantRequestFactory {
         if (workMarginMillis < 0 || slotMarginMillis < workMarginMillis) {
             throw new IllegalArgumentException(
-                    "margins are contradictory: work "
+                    "slot margin must be at least the work margin, and both not negative: work "
                             + workMarginMillis
                             + " ms, slot "
                             + slotMarginMillis
@@ -38,7 +39,7 @@
     }
 
     /**
-     * Returns the ask for a place in a prefill server's queue and for its link.
+     * Returns the grant request for a prefill server's queue and its link.
      *
      * @param attempt the attempt
      * @param request the request
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Returns the ask for a decode slot.
+     * Returns the grant request for a decode slot.
      *
      * <p>The engine takes the slot when the import begins, so it is needed from the end of the
      * prefill and not of the transfer.
@@ -69,8 +70,8 @@
      * @param request the request
      * @param server the decode server
      * @param prefill the prefill server, whose link carries the transfer
-     * @param prefillEndInMillis when prefill and transfer are expected to have ended, from now; 0
-     *     if the result is there already
+     * @param prefillEndInMillis expected end of prefill and transfer, from now; 0 if the result
+     *     already exists
      * @param millisLeft time left until the first token is due
      */
     public GrantAsk decode(
@@ -98,8 +99,8 @@
     }
 
     /**
-     * Returns the ask for a slot that is free now, for a prefill result whose promised slot is
-     * late.
+     * Returns the grant request for a slot that is free now, for a prefill result whose promised
+     * slot is late.
      *
      * @param attempt the attempt
      * @param request the request
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Admission of requests by deadline, and correction of the predictions it rests on. */
+/** Admission control by deadline, and creation of the grant requests of a request. */
 package org.cyclamenpaddle.routing.admission;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/EngineGenerations.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/EngineGenerations.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What an engine runs, as last reported.
+ * The generations that run on an engine, as last reported.
  *
- * @param memoryTokens tokens that its memory holds
- * @param generations its generations
- * @param tokensSinceReport tokens that each may have made since the report
+ * @param memoryTokens memory capacity in tokens
+ * @param generations its running generations
+ * @param tokensSinceReport tokens that each may have generated since the report
  */
 public record EngineGenerations(
         long memoryTokens, List<RunningGeneration> generations, long tokensSinceReport) {
@@ -15,11 +15,11 @@
     public EngineGenerations {
         if (memoryTokens < 1 || tokensSinceReport < 0) {
             throw new IllegalArgumentException(
-                    "engine of "
+                    "invalid engine report: memory of "
                             + memoryTokens
                             + " tokens, "
                             + tokensSinceReport
-                            + " since its report");
+                            + " tokens since the report");
         }
         generations = List.copyOf(generations);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
@@ -6,161 +6,179 @@
 import java.util.stream.Stream;
 
 /**
- * Foresees how much memory the generations at an engine will hold together.
+ * Forecasts the peak memory that the generations on an engine will hold together.
  *
- * <p>Generations grow by a token a step and give all back at their end. Room kept for the longest
- * would lie idle for most of its time; room kept for the usual length alone ends in preemption,
- * which reads a prompt again and breaks a stream for longer than callers accept. What counts is the
- * highest sum to come: of all that grow, many end before it is reached.
+ * <p>Generations grow by a token per step and release all memory at their end. Memory reserved for
+ * the longest would be idle for most of the time; memory reserved for the average length alone
+ * leads to preemption, which repeats the prefill and interrupts a stream for longer than callers
+ * accept. What counts is the future peak of the sum: many of the growing generations end before it
+ * is reached.
  *
  * <p>An engine's report is late, and in a burst an engine takes several generations in that time.
- * What is free there now tells how many: each of them holds a usual place. So the room that is
- * asked for is such that, with all that may have come unseen, everything still fits.
+ * Its free memory now shows how many: each of them holds an average reservation. The required free
+ * memory is therefore such that everything still fits, including all generations that may have
+ * started since the report.
  */
 public final class MemoryForecast {
 
-    /** Moments that are looked at, evenly spread over the longest generation. */
-    private static final int MOMENTS = 12;
+    /** Future points that are evaluated, evenly spread over the longest generation. */
+    private static final int SAMPLE_POINTS = 12;
 
-    /** Unseen generations that are reckoned with at most. */
-    private static final int MOST_UNSEEN = 32;
+    /** Maximum number of unreported generations that are considered. */
+    private static final int MAX_UNREPORTED = 32;
 
-    /** Steps in which their number is found; the last one is a tenth of a generation wide. */
-    private static final int HALVINGS = 9;
+    /** Bisection steps that find their number; the last one is a tenth of a generation wide. */
+    private static final int BISECTION_STEPS = 9;
 
     private final OutputLengths mLengths;
-    private final double mCaution;
+    private final double mSafetyDeviations;
 
     /**
-     * Creates an outlook.
+     * Creates a forecast.
      *
-     * @param lengths what is known of generations
-     * @param caution standard deviations by which the sum may turn out larger than its mean
+     * @param lengths learned lengths of generations
+     * @param safetyDeviations standard deviations by which the sum may exceed its mean
      */
-    public MemoryForecast(OutputLengths lengths, double caution) {
+    public MemoryForecast(OutputLengths lengths, double safetyDeviations) {
         mLengths = lengths;
-        mCaution = caution;
+        mSafetyDeviations = safetyDeviations;
     }
 
     /**
-     * Returns the tokens that must be free at an engine beside a new generation's place, so that it
-     * and those that run can grow to their highest sum.
+     * Returns the tokens that must be free on an engine beside a new generation's reservation, so
+     * that it and the running ones can grow to their peak.
      *
-     * @param engine what the engine runs, as last reported
-     * @param more the new generation
+     * @param engine the engine's generations, as last reported
+     * @param added the new generation
      * @return empty if they cannot, whatever is free now
      */
-    public OptionalLong requiredFreeTokens(EngineGenerations engine, NewGeneration more) {
-        long since = engine.tokensSinceReport();
-        List<Growing> known =
+    public OptionalLong requiredFreeTokens(EngineGenerations engine, NewGeneration added) {
+        long sinceTokens = engine.tokensSinceReport();
+        List<GenerationForecast> known =
                 Stream.concat(
                                 engine.generations().stream().map(this::reported),
-                                Stream.of(begun(more, since)))
+                                Stream.of(starting(added, sinceTokens)))
                         .toList();
-        Growing unseen = begun(mLengths.average(), since);
-        List<Sum> sums = moments(since).mapToObj(later -> Sum.of(known, unseen, later)).toList();
-        if (!fits(sums, 0, engine.memoryTokens())) {
+        GenerationForecast unreported = starting(mLengths.average(), sinceTokens);
+        List<MemoryUse> uses =
+                samplePoints(sinceTokens)
+                        .mapToObj(laterTokens -> MemoryUse.of(known, unreported, laterTokens))
+                        .toList();
+        if (!fits(uses, 0, engine.memoryTokens())) {
             return OptionalLong.empty();
         }
-        double unseenAtMost = mostUnseen(sums, engine.memoryTokens());
-        double usedAtMost = sums.get(0).mean() + unseenAtMost * unseen.place();
-        return OptionalLong.of(Math.max(0, Math.round(engine.memoryTokens() - usedAtMost)));
+        double maxUnreported = maxUnreported(uses, engine.memoryTokens());
+        double maxUsed = uses.get(0).mean() + maxUnreported * unreported.reserved();
+        return OptionalLong.of(Math.max(0, Math.round(engine.memoryTokens() - maxUsed)));
     }
 
-    /** Returns how many unseen generations fit beside the known ones, by halving the interval. */
-    private double mostUnseen(List<Sum> sums, long memoryTokens) {
-        double fitting = 0;
-        double above = MOST_UNSEEN;
-        for (int i = 0; i < HALVINGS; i++) {
-            double middle = (fitting + above) / 2;
-            if (fits(sums, middle, memoryTokens)) {
-                fitting = middle;
+    /** Returns by bisection how many unreported generations fit beside the known ones. */
+    private double maxUnreported(List<MemoryUse> uses, long memoryTokens) {
+        double fits = 0;
+        double tooMany = MAX_UNREPORTED;
+        for (int i = 0; i < BISECTION_STEPS; i++) {
+            double count = (fits + tooMany) / 2;
+            if (fits(uses, count, memoryTokens)) {
+                fits = count;
             } else {
-                above = middle;
+                tooMany = count;
             }
         }
-        return fitting;
+        return fits;
     }
 
-    private boolean fits(List<Sum> sums, double unseen, long memoryTokens) {
-        return sums.stream().allMatch(sum -> sum.with(unseen, mCaution) <= memoryTokens);
+    private boolean fits(List<MemoryUse> uses, double unreported, long memoryTokens) {
+        return uses.stream()
+                .allMatch(use -> use.upperBound(unreported, mSafetyDeviations) <= memoryTokens);
     }
 
-    private LongStream moments(long sinceTokens) {
-        long longest = Math.max(1, mLengths.longest());
-        return LongStream.rangeClosed(0, MOMENTS)
-                .map(moment -> sinceTokens + longest * moment / MOMENTS);
+    private LongStream samplePoints(long sinceTokens) {
+        long longest = Math.max(1, mLengths.longestTokens());
+        return LongStream.rangeClosed(0, SAMPLE_POINTS)
+                .map(point -> sinceTokens + longest * point / SAMPLE_POINTS);
     }
 
-    /** A generation of another host is taken to have been given a place of the usual size. */
-    private Growing reported(RunningGeneration run) {
-        long prompt = Math.max(0, run.heldTokens() - run.generatedTokens());
-        long usual = mLengths.average().expectedTokens();
-        return new Growing(mLengths.any(), prompt, run.generatedTokens(), prompt + usual);
+    /** A generation of another host is assumed to have a reservation of the average size. */
+    private GenerationForecast reported(RunningGeneration generation) {
+        long prompt = Math.max(0, generation.heldTokens() - generation.generatedTokens());
+        long averageOutput = mLengths.average().expectedTokens();
+        return new GenerationForecast(
+                mLengths.overallSurvival(),
+                prompt,
+                generation.generatedTokens(),
+                prompt + averageOutput);
     }
 
-    /** A generation that begins now has made nothing when the report was as long ago as it is. */
-    private Growing begun(NewGeneration work, long sinceTokens) {
-        return new Growing(
-                mLengths.expecting(work.expectedTokens()),
-                work.promptTokens(),
+    /**
+     * A generation that starts now had generated nothing at the time of the report, hence the
+     * negative offset.
+     */
+    private GenerationForecast starting(NewGeneration generation, long sinceTokens) {
+        return new GenerationForecast(
+                mLengths.survivalGivenExpected(generation.expectedTokens()),
+                generation.promptTokens(),
                 -sinceTokens,
-                work.reservedTokens());
+                generation.reservedTokens());
     }
 
     /**
-     * What generations hold together at one moment.
+     * Memory that generations hold together at one point in time.
      *
-     * @param mean of the known ones
-     * @param variance of the known ones
-     * @param unseenMean of one that is not known
-     * @param unseenVariance of one that is not known
+     * @param mean mean of the known ones
+     * @param variance variance of the known ones
+     * @param unreportedMean mean of one unreported generation
+     * @param unreportedVariance variance of one unreported generation
      */
-    private record Sum(double mean, double variance, double unseenMean, double unseenVariance) {
+    private record MemoryUse(
+            double mean, double variance, double unreportedMean, double unreportedVariance) {
 
-        static Sum of(List<Growing> known, Growing unseen, long laterTokens) {
-            return new Sum(
+        static MemoryUse of(
+                List<GenerationForecast> known, GenerationForecast unreported, long laterTokens) {
+            return new MemoryUse(
                     known.stream().mapToDouble(each -> each.mean(laterTokens)).sum(),
                     known.stream().mapToDouble(each -> each.variance(laterTokens)).sum(),
-                    unseen.mean(laterTokens),
-                    unseen.variance(laterTokens));
+                    unreported.mean(laterTokens),
+                    unreported.variance(laterTokens));
         }
 
-        double with(double unseen, double caution) {
+        double upperBound(double unreported, double safetyDeviations) {
             return mean
-                    + unseen * unseenMean
-                    + caution * Math.sqrt(variance + unseen * unseenVariance);
+                    + unreported * unreportedMean
+                    + safetyDeviations * Math.sqrt(variance + unreported * unreportedVariance);
         }
     }
 
     /**
-     * A generation on its way.
+     * Forecast of one generation.
      *
-     * @param survival how long it may become
+     * @param survival distribution of its length
      * @param prompt tokens of its prompt
-     * @param made tokens that it has made
-     * @param place tokens that are kept for it in any case
+     * @param generated tokens that it has generated
+     * @param reserved tokens that are reserved for it in any case
      */
-    private record Growing(SurvivalFunction survival, long prompt, long made, long place) {
+    private record GenerationForecast(
+            SurvivalFunction survival, long prompt, long generated, long reserved) {
 
         double mean(long laterTokens) {
-            return alive(laterTokens) * held(laterTokens);
+            return runningProbability(laterTokens) * held(laterTokens);
         }
 
         double variance(long laterTokens) {
-            double alive = alive(laterTokens);
+            double running = runningProbability(laterTokens);
             double held = held(laterTokens);
-            return alive * (1 - alive) * held * held;
+            return running * (1 - running) * held * held;
         }
 
         private double held(long laterTokens) {
-            return Math.max(place, prompt + made + laterTokens);
+            return Math.max(reserved, prompt + generated + laterTokens);
         }
 
-        private double alive(long laterTokens) {
-            double before = survival.outlives(Math.max(0, made));
-            // One that is longer than all that were seen says nothing of when it will end.
-            return before == 0 ? 1 : survival.outlives(Math.max(0, made + laterTokens)) / before;
+        private double runningProbability(long laterTokens) {
+            double before = survival.survival(Math.max(0, generated));
+            // Nothing is known of the end of a generation longer than all recorded ones.
+            return before == 0
+                    ? 1
+                    : survival.survival(Math.max(0, generated + laterTokens)) / before;
         }
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/OutputLengths.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/OutputLengths.java
@@ -1,63 +1,64 @@
 package org.cyclamenpaddle.routing.memory;
 
 /**
- * What is known of the lengths of one service's answers: those that have ended, and how far off the
- * callers' expectations were.
+ * Learns the output lengths of one service from the generations that have ended, and how far they
+ * differed from the callers' expectations.
  *
- * <p>Callers' expectations are right in the median only. Without generations that have ended, they
+ * <p>Callers' expectations are right in the median only. Until enough generations have ended, they
  * count as exact. Not thread-safe.
  */
 public final class OutputLengths {
 
-    /** Generations that are remembered. */
+    /** Generations in the sliding window. */
     private static final int WINDOW = 256;
 
-    /** Generations that must have ended before what they tell goes before expectations. */
-    static final int ENOUGH = 20;
+    /** Generations that must have ended before their lengths replace the expectations. */
+    static final int MIN_SAMPLES = 20;
 
-    /** Resolution of a length over its expectation. */
+    /** Scale of the ratio of actual to expected length. */
     private static final double PER_MILLE = 1_000;
 
     private final RecentValues mPrompts = new RecentValues(WINDOW);
     private final RecentValues mExpected = new RecentValues(WINDOW);
-    private final RecentValues mMade = new RecentValues(WINDOW);
-    private final RecentValues mOverExpected = new RecentValues(WINDOW);
+    private final RecentValues mGenerated = new RecentValues(WINDOW);
+    private final RecentValues mActualPerMilleOfExpected = new RecentValues(WINDOW);
 
-    /** Notes a generation that has arrived. */
-    public void started(NewGeneration work) {
-        mPrompts.add(work.promptTokens());
-        mExpected.add(work.expectedTokens());
+    /** Records a generation that has arrived. */
+    public void started(NewGeneration generation) {
+        mPrompts.add(generation.promptTokens());
+        mExpected.add(generation.expectedTokens());
     }
 
-    /** Returns a usual generation. */
+    /** Returns a generation with the average prompt and output length. */
     public NewGeneration average() {
         return new NewGeneration(Math.round(mPrompts.mean()), Math.round(mean()));
     }
 
-    /** Notes what a generation has made. */
-    public void ended(long expectedTokens, long madeTokens) {
-        mMade.add(madeTokens);
-        mOverExpected.add(Math.round(PER_MILLE * madeTokens / Math.max(1, expectedTokens)));
+    /** Records the output length of a generation that has ended. */
+    public void ended(long expectedTokens, long generatedTokens) {
+        mGenerated.add(generatedTokens);
+        mActualPerMilleOfExpected.add(
+                Math.round(PER_MILLE * generatedTokens / Math.max(1, expectedTokens)));
     }
 
-    /** Returns the survival of any generation. */
-    public SurvivalFunction any() {
-        return mMade.count() < ENOUGH ? mExpected : mMade;
+    /** Returns the survival function over all generations. */
+    public SurvivalFunction overallSurvival() {
+        return mGenerated.count() < MIN_SAMPLES ? mExpected : mGenerated;
     }
 
-    /** Returns the survival of a generation of which so much is expected. */
-    public SurvivalFunction expecting(long expectedTokens) {
-        return mMade.count() < ENOUGH
+    /** Returns the survival function of a generation with the given expected length. */
+    public SurvivalFunction survivalGivenExpected(long expectedTokens) {
+        return mGenerated.count() < MIN_SAMPLES
                 ? SurvivalFunction.exactly(expectedTokens)
-                : mOverExpected.scaled(Math.max(1, expectedTokens) / PER_MILLE);
+                : mActualPerMilleOfExpected.scaled(Math.max(1, expectedTokens) / PER_MILLE);
     }
 
     private double mean() {
-        return (mMade.count() < ENOUGH ? mExpected : mMade).mean();
+        return (mGenerated.count() < MIN_SAMPLES ? mExpected : mGenerated).mean();
     }
 
-    /** Returns the length of the longest generation to be reckoned with, in tokens. */
-    public long longest() {
-        return Math.max(mExpected.quantile(1), mMade.quantile(1));
+    /** Returns the length of the longest generation to account for, in tokens. */
+    public long longestTokens() {
+        return Math.max(mExpected.quantile(1), mGenerated.quantile(1));
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/RecentValues.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/RecentValues.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** The last values of something that is observed, and how they are distributed; not thread-safe. */
+/**
+ * Sliding window over the most recent values of a measurement, with their distribution. Not
+ * thread-safe.
+ */
 public final class RecentValues implements SurvivalFunction {
 
     private final long[] mValues;
@@ -11,18 +14,19 @@
     private long[] mSorted = new long[0];
 
     /**
-     * Creates a window without values.
+     * Creates an empty window.
      *
-     * @param size values that are remembered
+     * @param size number of values in the window
      */
     public RecentValues(int size) {
         if (size < 1) {
-            throw new IllegalArgumentException("a window of " + size + " values");
+            throw new IllegalArgumentException(
+                    "window size must be at least 1: " + size + " values");
         }
         mValues = new long[size];
     }
 
-    /** Takes in a value; the oldest one is forgotten if the window is full. */
+    /** Adds a value; the oldest one is dropped if the window is full. */
     public void add(long value) {
         mValues[mNext] = value;
         mNext = (mNext + 1) % mValues.length;
@@ -30,12 +34,15 @@
         mSorted = new long[0];
     }
 
-    /** Returns the number of values. */
+    /** Returns the number of values in the window. */
     public int count() {
         return mCount;
     }
 
-    /** Returns the value that a share of all values does not exceed; 0 without any. */
+    /**
+     * Returns the value that the given share of all values does not exceed; 0 if the window is
+     * empty.
+     */
     public long quantile(double share) {
         if (mCount == 0) {
             return 0;
@@ -44,13 +51,13 @@
         return sorted()[Math.max(0, Math.min(mCount - 1, rank))];
     }
 
-    /** Returns the mean; 0 without any. */
+    /** Returns the mean; 0 if the window is empty. */
     public double mean() {
         return Arrays.stream(mValues, 0, mCount).average().orElse(0);
     }
 
     @Override
-    public double outlives(long tokens) {
+    public double survival(long tokens) {
         if (mCount == 0) {
             return 0;
         }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/SurvivalFunction.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/SurvivalFunction.java
@@ -1,18 +1,22 @@
 package org.cyclamenpaddle.routing.memory;
 
-/** How likely a generation becomes longer than a number of tokens. */
+/** Probability that a generation becomes longer than a number of tokens. */
 @FunctionalInterface
 public interface SurvivalFunction {
 
-    /** Returns the share of generations that make more than {@code tokens}, from 0 to 1. */
-    double outlives(long tokens);
+    /** Returns the share of generations that produce more than {@code tokens}, from 0 to 1. */
+    double survival(long tokens);
 
-    /** Returns the same for generations whose lengths are {@code factor} times as large. */
+    /**
+     * Returns the survival function of generations whose lengths are {@code factor} times as large.
+     */
     default SurvivalFunction scaled(double factor) {
-        return tokens -> outlives((long) (tokens / factor));
+        return tokens -> survival((long) (tokens / factor));
     }
 
-    /** Returns the survival of a generation that makes exactly so many tokens. */
+    /**
+     * Returns the survival function of a generation that produces exactly {@code length} tokens.
+     */
     static SurvivalFunction exactly(long length) {
         return tokens -> tokens < length ? 1 : 0;
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/package-info.java
@@ -1,2 +1,2 @@
-/** How much memory an engine's generations will need, and whether there is room for one more. */
+/** Forecast of the memory that an engine's generations need, and whether another one fits. */
 package org.cyclamenpaddle.routing.memory;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/BackendView.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/BackendView.java
@@ -6,15 +6,15 @@
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
 /**
- * What one host knows of a backend server when it places a request.
+ * One host's view of a backend server at the time of placement.
  *
  * @param spec the declaration
- * @param hint what the ledger's owner told last; empty if nothing was heard
+ * @param hint latest summary from the ledger's owner; empty if none was received
  * @param hintAgeMillis age of the hint
- * @param inFlight attempts that this host itself has on the backend server
- * @param excluded whether the request may not run there, such as by quarantine
+ * @param inFlight attempts that this host itself has in flight on the backend server
+ * @param excluded whether the request may not run there, for example because of quarantine
  * @param suspected whether it is suspected to be unreachable
- * @param distanceMillis one-way time to its failure domain
+ * @param distanceMillis one-way latency to its failure domain
  */
 public record BackendView(
         BackendSpec spec,
@@ -27,14 +27,14 @@
 
     public BackendView {
         if (spec == null || hint == null) {
-            throw new IllegalArgumentException("view of a backend server lacks spec or hint");
+            throw new IllegalArgumentException("view of a backend server needs a spec and a hint");
         }
         if (hintAgeMillis < 0 || inFlight < 0 || distanceMillis < 0) {
             throw new IllegalArgumentException("view of " + spec.id() + " has a negative value");
         }
     }
 
-    /** Returns the backend server's name. */
+    /** Returns the backend server's id. */
     public BackendId id() {
         return spec.id();
     }
@@ -44,19 +44,19 @@
         return !excluded && !spec.leaving();
     }
 
-    /** Returns whether it is doubtful that it can be reached. */
-    public boolean doubtful() {
-        return suspected || hint.map(told -> !told.reachable()).orElse(false);
+    /** Returns whether it is suspected or reported to be unreachable. */
+    public boolean possiblyUnreachable() {
+        return suspected || hint.map(summary -> !summary.reachable()).orElse(false);
     }
 
-    /** Returns the hinted wait until there is room, less the hint's age. */
+    /** Returns the wait for free capacity as of the hint, less the hint's age. */
     long hintedWaitMillis() {
-        return hint.map(told -> Math.max(0, told.freeInMillis() - hintAgeMillis)).orElse(0L);
+        return hint.map(summary -> Math.max(0, summary.freeInMillis() - hintAgeMillis)).orElse(0L);
     }
 
-    /** Returns the believed share of slots in use, from 0 to 1. */
+    /** Returns the estimated share of slots in use, from 0 to 1. */
     double load() {
-        double used = hint.map(told -> spec.slots() - told.freeSlots()).orElse(inFlight);
+        double used = hint.map(summary -> spec.slots() - summary.freeSlots()).orElse(inFlight);
         return Math.min(1, Math.max(0, used / spec.slots()));
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostFactors.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostFactors.java
@@ -8,7 +8,7 @@
  */
 public record CostFactors(double prefill, double transfer) {
 
-    /** Factors that leave predictions as they are. */
+    /** Factors that leave predictions unchanged. */
     public static final CostFactors NEUTRAL = new CostFactors(1, 1);
 
     public CostFactors {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostModel.java
@@ -3,7 +3,10 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
-/** Predicts the time to the first token from hints: queue, prefill, transfer, wait for decode. */
+/**
+ * Predicts the time to the first token from hints: queue, prefill, transfer, wait for decode
+ * capacity.
+ */
 final class CostModel {
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -16,7 +19,7 @@
         mView = view;
     }
 
-    /** Predicts when prefill and transfer have ended if prefilled there. */
+    /** Predicts the end of prefill and transfer on a prefill server. */
     Scored prefill(BackendView server) {
         int cached =
                 Math.min(
@@ -30,20 +33,20 @@
         return new Scored(server, new Candidate(server.id(), Math.round(total), cached));
     }
 
-    /** Predicts when the first token comes if decoded there. */
+    /** Predicts the time of the first token on a decode server. */
     Scored decode(BackendView server, long prefillEndInMillis) {
         long ready = prefillEndInMillis + 2 * server.distanceMillis();
-        long start = Math.max(ready, roomInMillis(server));
+        long start = Math.max(ready, capacityInMillis(server));
         long total = start + server.spec().tokenMillis();
         return new Scored(server, new Candidate(server.id(), total, 0));
     }
 
-    private long roomInMillis(BackendView server) {
-        boolean roomNow = server.hint().map(this::hasRoom).orElse(true);
-        return roomNow ? 0 : server.hintedWaitMillis();
+    private long capacityInMillis(BackendView server) {
+        boolean capacityNow = server.hint().map(this::hasCapacity).orElse(true);
+        return capacityNow ? 0 : server.hintedWaitMillis();
     }
 
-    private boolean hasRoom(LedgerSummary hint) {
+    private boolean hasCapacity(LedgerSummary hint) {
         return hint.freeSlots() > 0 && hint.freePieces() >= mRequest.pieces();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementPolicy.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementPolicy.java
@@ -10,12 +10,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * How a host orders the backend servers that a request could run on.
+ * Order in which a host ranks the backend servers that a request could run on.
  *
- * <p>All policies leave out what may not be used and put what is doubtfully reachable last.
+ * <p>All policies skip unusable backend servers and rank possibly unreachable ones last.
  */
 public enum PlacementPolicy {
-    /** Each backend server in turn; a baseline. */
+    /** Round robin over the backend servers; a baseline. */
     ROUND_ROBIN(false) {
         @Override
         List<Scored> order(List<Scored> servers, long turn, UniformRandomProvider random) {
@@ -27,7 +27,7 @@
         }
     },
 
-    /** The least reported load, which lags; a baseline. */
+    /** Least reported load, which lags; a baseline. */
     LEAST_REPORTED_LOAD(false) {
         @Override
         List<Scored> order(List<Scored> servers, long turn, UniformRandomProvider random) {
@@ -37,7 +37,7 @@
         }
     },
 
-    /** The less loaded of two drawn at random; a baseline. */
+    /** Less loaded of two randomly drawn servers; a baseline. */
     TWO_RANDOM_CHOICES(false) {
         @Override
         List<Scored> order(List<Scored> servers, long turn, UniformRandomProvider random) {
@@ -50,12 +50,12 @@
         }
     },
 
-    /** The least predicted time to first token, confirmed by grants of the ledgers' owners. */
+    /** Least predicted time to first token, confirmed by grants of the ledgers' owners. */
     TIMED_GRANTS(true) {
         @Override
         List<Scored> order(List<Scored> servers, long turn, UniformRandomProvider random) {
             return servers.stream()
-                    .map(scored -> new Costed(scored, spread(scored, random)))
+                    .map(scored -> new Costed(scored, jitteredCost(scored, random)))
                     .sorted(Comparator.comparingDouble(Costed::cost))
                     .map(Costed::scored)
                     .toList();
@@ -68,15 +68,15 @@
             Comparator.comparingDouble(Scored::load).thenComparingLong(Scored::waitMillis);
 
     /**
-     * Predictions nearer to each other than this, and more for an old hint, are taken as equal.
+     * Predictions that differ by less than this, and by more for an older hint, count as ties.
      *
-     * <p>Safeguard: hosts that hold the same old hint would else all choose the same server, and
-     * all but the first few of them would be refused there. The older the hint, the less it tells:
-     * a server's room changes by some completions in each half second.
+     * <p>Safeguard: hosts that hold the same old hint would otherwise all choose the same server,
+     * and all but the first few of them would be refused there. An older hint is less reliable: the
+     * free capacity of a server changes by several completions every half second.
      */
-    private static final double NEAR_MILLIS = 20;
+    private static final double TIE_MILLIS = 20;
 
-    private static final double NEAR_PER_AGE = 0.5;
+    private static final double TIE_MILLIS_PER_HINT_AGE_MILLI = 0.5;
 
     private final boolean mUsesGrants;
 
@@ -86,16 +86,16 @@
 
     abstract List<Scored> order(List<Scored> servers, long turn, UniformRandomProvider random);
 
-    /** Returns whether a choice counts only once the ledger's owner granted it. */
+    /** Returns whether a placement needs a grant of the ledger's owner. */
     public boolean usesGrants() {
         return mUsesGrants;
     }
 
     /**
-     * Orders the prefill servers, best first.
+     * Ranks the prefill servers, best first.
      *
      * @param request the request
-     * @param view what this host knows
+     * @param view this host's view of the backend servers
      * @param random source of random numbers
      */
     public List<Candidate> rankPrefill(
@@ -105,12 +105,12 @@
     }
 
     /**
-     * Orders the decode servers, best first.
+     * Ranks the decode servers, best first.
      *
      * @param request the request
-     * @param view what this host knows
+     * @param view this host's view of the backend servers
      * @param random source of random numbers
-     * @param prefillEndInMillis when prefill and transfer are expected to have ended, from now
+     * @param prefillEndInMillis expected end of prefill and transfer, from now
      */
     public List<Candidate> rankDecode(
             PlacementRequest request,
@@ -130,19 +130,22 @@
             Function<BackendView, Scored> score,
             long turn,
             UniformRandomProvider random) {
-        Map<Boolean, List<Scored>> byDoubt =
+        Map<Boolean, List<Scored>> byReachability =
                 servers.stream()
                         .filter(BackendView::usable)
                         .map(score)
-                        .collect(Collectors.partitioningBy(scored -> scored.view().doubtful()));
-        List<Scored> ordered = new ArrayList<>(order(byDoubt.get(false), turn, random));
-        ordered.addAll(order(byDoubt.get(true), turn, random));
+                        .collect(
+                                Collectors.partitioningBy(
+                                        scored -> scored.view().possiblyUnreachable()));
+        List<Scored> ordered = new ArrayList<>(order(byReachability.get(false), turn, random));
+        ordered.addAll(order(byReachability.get(true), turn, random));
         return ordered.stream().map(Scored::candidate).toList();
     }
 
-    private static double spread(Scored scored, UniformRandomProvider random) {
-        double near = NEAR_MILLIS + NEAR_PER_AGE * scored.view().hintAgeMillis();
-        return scored.cost() + near * random.nextDouble();
+    private static double jitteredCost(Scored scored, UniformRandomProvider random) {
+        double tieMillis =
+                TIE_MILLIS + TIE_MILLIS_PER_HINT_AGE_MILLI * scored.view().hintAgeMillis();
+        return scored.cost() + tieMillis * random.nextDouble();
     }
 
     private static List<Scored> shuffled(List<Scored> servers, UniformRandomProvider random) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementRequest.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementRequest.java
@@ -5,13 +5,13 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * What placement needs to know of a request.
+ * Properties of a request that placement depends on.
  *
  * @param service the service
  * @param promptTokens tokens of the prompt
- * @param blockHashes chained hashes of the prompt's whole blocks
- * @param pieces memory pieces of the prompt and the expected output
- * @param kvBytes size of the KV cache that has to be transferred
+ * @param blockHashes chained hashes of the prompt's full blocks
+ * @param pieces KV cache blocks of the prompt and the expected output
+ * @param kvBytes size of the KV cache to transfer
  * @param expectedOutputTokens tokens expected to be generated
  * @param domain failure domain of the host that places it
  * @param millisLeft time left until the first token is due
@@ -28,7 +28,7 @@
 
     public PlacementRequest {
         if (service == null || domain == null) {
-            throw new IllegalArgumentException("placement request lacks service or domain");
+            throw new IllegalArgumentException("placement request needs a service and a domain");
         }
         if (promptTokens < 0 || pieces < 0 || kvBytes < 0 || expectedOutputTokens < 0) {
             throw new IllegalArgumentException(
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementView.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PlacementView.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What one host knows when it places a request of a service.
+ * One host's view of the backend servers when it places a request of a service.
  *
- * @param prefill backend servers that the preset in force has prefill for the service
- * @param decode backend servers that the preset in force has decode for the service
+ * @param prefill backend servers to which the preset in force assigns prefill for the service
+ * @param decode backend servers to which the preset in force assigns decode for the service
  * @param prefixes hints of cached prefixes
  * @param factors learned corrections of the predictions
- * @param turn number of requests that this host has placed before, for taking turns
+ * @param turn number of requests that this host has placed before, for round robin
  */
 public record PlacementView(
         List<BackendView> prefill,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixHints.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixHints.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** What is believed of the prompt prefixes that engines have cached; a hint, never a promise. */
+/** Estimates which prompt prefixes engines have cached; an estimate may be wrong. */
 @FunctionalInterface
 public interface PrefixHints {
 
-    /** Hints of a router that knows of no cached prefix. */
+    /** Hints that report no cached prefix. */
     PrefixHints NONE = (backend, blockHashes) -> 0;
 
     /**
-     * Returns the tokens of a prompt's prefix that an engine is believed to have cached.
+     * Returns the tokens of a prompt's prefix that an engine is expected to have cached.
      *
      * @param backend the engine
-     * @param blockHashes chained hashes of the prompt's whole blocks
+     * @param blockHashes chained hashes of the prompt's full blocks
      */
     int cachedTokens(BackendId backend, List<Long> blockHashes);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixIndex.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixIndex.java
@@ -9,16 +9,16 @@
 import org.cyclamenpaddle.core.text.PromptText;
 
 /**
- * What engines are believed to have in their prefix caches, from events that come late and with
- * gaps.
+ * Tracks the contents of the engines' prefix caches from cache events that are late and may be
+ * lost.
  *
- * <p>Memory is bounded for each engine; the block used longest ago goes first. After a gap an
- * eviction may have been missed, so every block known before counts only for a part until it is
- * heard of again. Not thread-safe.
+ * <p>Memory is bounded per engine; the least recently used block is evicted first. After a gap an
+ * eviction may have been missed, so every block known before counts only in part until another
+ * event confirms it. Not thread-safe.
  */
 public final class PrefixIndex implements PrefixHints {
 
-    private static final double DOUBTFUL_SHARE = 0.5;
+    private static final double STALE_BLOCK_WEIGHT = 0.5;
 
     private static final class Cache {
 
@@ -27,27 +27,27 @@
         private int mEpoch;
     }
 
-    private final int mMostBlocks;
+    private final int mMaxBlocks;
     private final Map<BackendId, Cache> mCaches = new HashMap<>();
 
     /**
      * Creates an empty index.
      *
-     * @param mostBlocks blocks that are remembered for each engine
+     * @param maxBlocks maximum number of blocks per engine
      */
-    public PrefixIndex(int mostBlocks) {
-        if (mostBlocks < 1) {
-            throw new IllegalArgumentException("blocks " + mostBlocks + " must be above 0");
+    public PrefixIndex(int maxBlocks) {
+        if (maxBlocks < 1) {
+            throw new IllegalArgumentException("blocks " + maxBlocks + " must be above 0");
         }
-        mMostBlocks = mostBlocks;
+        mMaxBlocks = maxBlocks;
     }
 
     /**
-     * Takes in one poll of an engine's events.
+     * Applies the events of one poll of an engine.
      *
      * @param backend the engine
-     * @param events events since the last poll, by rising sequence, maybe with gaps
-     * @param lastSequence the engine's last sequence; lower than before if it was started anew
+     * @param events events since the last poll, by increasing sequence, possibly with gaps
+     * @param lastSequence the engine's last sequence; lower than before if the engine was restarted
      */
     public void apply(BackendId backend, List<CacheEvent> events, long lastSequence) {
         if (mCaches.containsKey(backend) && lastSequence < mCaches.get(backend).mLastSequence) {
@@ -56,26 +56,26 @@
         Cache cache = mCaches.computeIfAbsent(backend, any -> new Cache());
         for (CacheEvent event : events) {
             if (event.sequence() > cache.mLastSequence) {
-                passTo(cache, event.sequence() - 1);
-                take(cache, event);
+                advanceTo(cache, event.sequence() - 1);
+                applyEvent(cache, event);
                 cache.mLastSequence = event.sequence();
             }
         }
-        passTo(cache, lastSequence);
+        advanceTo(cache, lastSequence);
     }
 
     /**
-     * Takes in what a finished prefill showed: that the blocks of its prompt are cached now.
+     * Records that a completed prefill has cached the blocks of its prompt.
      *
      * @param backend the engine
-     * @param blockHashes chained hashes of the prompt's whole blocks
+     * @param blockHashes chained hashes of the prompt's full blocks
      */
     public void prefilled(BackendId backend, List<Long> blockHashes) {
         Cache cache = mCaches.computeIfAbsent(backend, any -> new Cache());
         blockHashes.forEach(hash -> store(cache, hash));
     }
 
-    /** Forgets an engine, such as one that was restarted or has another model. */
+    /** Removes an engine, for example one that was restarted or has another model. */
     public void forget(BackendId backend) {
         mCaches.remove(backend);
     }
@@ -92,24 +92,24 @@
             if (epoch == null) {
                 break;
             }
-            blocks += epoch == cache.mEpoch ? 1 : DOUBTFUL_SHARE;
+            blocks += epoch == cache.mEpoch ? 1 : STALE_BLOCK_WEIGHT;
         }
         return (int) (blocks * PromptText.TOKENS_PER_BLOCK);
     }
 
-    /** Returns the blocks remembered over all engines. */
+    /** Returns the number of blocks over all engines. */
     public int size() {
         return mCaches.values().stream().mapToInt(cache -> cache.mEpochByBlock.size()).sum();
     }
 
-    private static void passTo(Cache cache, long sequence) {
+    private static void advanceTo(Cache cache, long sequence) {
         if (sequence > cache.mLastSequence) {
             cache.mEpoch++;
             cache.mLastSequence = sequence;
         }
     }
 
-    private void take(Cache cache, CacheEvent event) {
+    private void applyEvent(Cache cache, CacheEvent event) {
         if (event.kind() == CacheEvent.Kind.EVICTED) {
             cache.mEpochByBlock.remove(event.blockHash());
         } else {
@@ -119,7 +119,7 @@
 
     private void store(Cache cache, long hash) {
         cache.mEpochByBlock.put(hash, cache.mEpoch);
-        if (cache.mEpochByBlock.size() > mMostBlocks) {
+        if (cache.mEpochByBlock.size() > mMaxBlocks) {
             Iterator<Long> oldest = cache.mEpochByBlock.keySet().iterator();
             oldest.next();
             oldest.remove();
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/Scored.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/Scored.java
@@ -1,18 +1,21 @@
 package org.cyclamenpaddle.routing.placement;
 
 /**
- * A candidate with what policies compare.
+ * A candidate with the values that policies compare.
  *
- * @param view what is known of the backend server
- * @param candidate the prediction for it
+ * @param view view of the backend server
+ * @param candidate its prediction
  */
 record Scored(BackendView view, Candidate candidate) {
 
-    /** Extra cost of a busy server over an idle one: a larger batch decodes each token slower. */
-    private static final double FULL_LOAD_MILLIS = 20;
+    /**
+     * Additional cost of a fully loaded server over an idle one: a larger batch decodes each token
+     * more slowly.
+     */
+    private static final double FULL_LOAD_COST_MILLIS = 20;
 
     double cost() {
-        return candidate.predictedMillis() + FULL_LOAD_MILLIS * view.load();
+        return candidate.predictedMillis() + FULL_LOAD_COST_MILLIS * view.load();
     }
 
     double load() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/CallerLimits.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/CallerLimits.java
@@ -1,19 +1,19 @@
 package org.cyclamenpaddle.routing.reservation;
 
 /**
- * What the callers of a route accept.
+ * Latency limits that the callers of a route accept.
  *
- * @param targetMillis time in which the first token should come
- * @param silenceMillis time without an event after which they leave
+ * @param targetMillis target for the time to the first token
+ * @param silenceMillis longest time without an event after which a caller disconnects
  */
 public record CallerLimits(long targetMillis, long silenceMillis) {
 
     public CallerLimits {
         if (targetMillis < 0 || silenceMillis < 0) {
             throw new IllegalArgumentException(
-                    "callers who want a token in "
+                    "caller limits must not be negative: target "
                             + targetMillis
-                            + " ms and leave after "
+                            + " ms, silence "
                             + silenceMillis);
         }
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
@@ -1,32 +1,32 @@
 package org.cyclamenpaddle.routing.reservation;
 
 /**
- * When a generation that found no place is asked to come back.
+ * Computes the retry delay that a rejected caller is given.
  *
- * <p>Places come free as generations end. Who comes back before half of a usual generation has
- * passed meets nearly the same ones; after a whole one, most have ended.
+ * <p>Capacity becomes free as generations end. A caller that returns before half of an average
+ * generation has passed finds nearly the same ones running; after a whole one, most have ended.
  */
 public final class ClientRetryDelay {
 
-    /** Share of a usual generation's time after which callers come back at the earliest. */
-    private static final double LEAST_SHARE = 0.6;
+    /** Minimum retry delay as a share of an average generation's duration. */
+    private static final double MIN_GENERATION_SHARE = 0.6;
 
-    /** The same as a share of the silence that callers bear, until generations have ended. */
-    private static final double FIRST_SHARE = 0.6;
+    /** Minimum retry delay as a share of the silence timeout, until generations have ended. */
+    private static final double DEFAULT_SILENCE_SHARE = 0.6;
 
     private ClientRetryDelay() {}
 
     /**
-     * Returns the least wait; the longest is twice as long.
+     * Returns the minimum retry delay in milliseconds; the maximum is twice as long.
      *
-     * @param generationMillis time that a usual generation takes; 0 if it is not known
-     * @param terms of the route
+     * @param generationMillis average duration of a generation; 0 if unknown
+     * @param limits latency limits of the route
      */
-    public static long minMillis(double generationMillis, CallerLimits terms) {
+    public static long minMillis(double generationMillis, CallerLimits limits) {
         double millis =
                 generationMillis > 0
-                        ? generationMillis * LEAST_SHARE
-                        : terms.silenceMillis() * FIRST_SHARE;
+                        ? generationMillis * MIN_GENERATION_SHARE
+                        : limits.silenceMillis() * DEFAULT_SILENCE_SHARE;
         return Math.max(1, Math.round(millis));
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservationWait.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservationWait.java
@@ -3,62 +3,66 @@
 import java.util.OptionalLong;
 
 /**
- * How often one request asks full engines for a place, and for how long.
+ * Bounds how long and how often one request tries to reserve capacity while the engines are full.
  *
- * @param startMillis when the search began
- * @param waitMillis for how long it goes on
- * @param stage what the request has behind it
+ * @param startMillis clock reading at which the search began
+ * @param waitMillis maximum duration of the search
+ * @param stage whether the request is new, returning or a retry
  */
 public record ReservationWait(long startMillis, long waitMillis, RetryStage stage) {
 
     public ReservationWait {
         if (waitMillis < 0 || stage == null) {
             throw new IllegalArgumentException(
-                    "a search of " + stage + " cannot last " + waitMillis + " ms");
+                    "reservation search of stage "
+                            + stage
+                            + " has invalid duration "
+                            + waitMillis
+                            + " ms");
         }
     }
 
     /**
-     * Begins the search of a request.
+     * Starts the search of a request.
      *
-     * @param nowMillis reading of the clock
-     * @param terms what its caller accepts
-     * @param stage what it has behind it
+     * @param nowMillis current clock reading
+     * @param limits latency limits of its caller
+     * @param stage whether the request is new, returning or a retry
      */
-    public static ReservationWait begin(long nowMillis, CallerLimits terms, RetryStage stage) {
-        return new ReservationWait(nowMillis, stage.waitMillis(terms), stage);
+    public static ReservationWait begin(long nowMillis, CallerLimits limits, RetryStage stage) {
+        return new ReservationWait(nowMillis, stage.waitMillis(limits), stage);
     }
 
-    /** Returns whether there is time for another ask after a pause. */
+    /** Returns whether enough time remains for another reservation request after a pause. */
     public boolean mayRetry(long nowMillis) {
-        return leftMillis(nowMillis) >= RetryStage.SHORT_PAUSE_MILLIS;
+        return remainingMillis(nowMillis) >= RetryStage.MIN_PAUSE_MILLIS;
     }
 
-    /** Returns the pause before the next ask, in milliseconds. */
+    /** Returns the pause before the next reservation request, in milliseconds. */
     public long pauseMillis(long nowMillis) {
-        return stage.pauseMillis(leftMillis(nowMillis), waitMillis);
+        return stage.pauseMillis(remainingMillis(nowMillis), waitMillis);
     }
 
     /**
-     * Returns the memory that the request leaves for another one beside its own.
+     * Returns the memory that must stay free for another request beside this one's own reservation.
      *
-     * <p>Room for a usual request suffices: a large one that left as much again as it needs itself
-     * would wait for an engine that is nearly empty.
+     * <p>The memory of an average request suffices: a large request that left as much again as it
+     * needs itself would wait for an engine that is nearly empty.
      *
-     * @param nowMillis reading of the clock
-     * @param ownTokens memory that the request needs
-     * @param usualTokens memory that a usual request needs; empty if that is not known
+     * @param nowMillis current clock reading
+     * @param ownTokens memory that the request needs, in tokens
+     * @param averageTokens memory that an average request needs, in tokens; empty if unknown
      */
-    public long headroomTokens(long nowMillis, long ownTokens, OptionalLong usualTokens) {
-        return yields(nowMillis) ? Math.min(ownTokens, usualTokens.orElse(ownTokens)) : 0;
+    public long headroomTokens(long nowMillis, long ownTokens, OptionalLong averageTokens) {
+        return leavesHeadroom(nowMillis) ? Math.min(ownTokens, averageTokens.orElse(ownTokens)) : 0;
     }
 
-    /** Returns whether the request leaves room for another one beside its own. */
-    boolean yields(long nowMillis) {
-        return stage.yields(leftMillis(nowMillis), waitMillis);
+    /** Returns whether the request leaves free memory for another one beside its own. */
+    boolean leavesHeadroom(long nowMillis) {
+        return stage.leavesHeadroom(remainingMillis(nowMillis), waitMillis);
     }
 
-    private long leftMillis(long nowMillis) {
+    private long remainingMillis(long nowMillis) {
         return startMillis + waitMillis - nowMillis;
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservePacing.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservePacing.java
@@ -1,44 +1,44 @@
 package org.cyclamenpaddle.routing.reservation;
 
 /**
- * Spaces the asks of one search while engines turn it away.
+ * Paces the reservation requests of one search while engines reject them.
  *
- * <p>Safeguard: before many engines a search that pauses only when all have turned it away never
- * pauses. Its calls then grow with the number of engines, and under load the hosts spend their
- * processor time on asks that cannot succeed. Asked in rounds with growing pauses, a search costs
- * about the same before six engines and before six hundred. Not thread-safe.
+ * <p>Safeguard: a search that pauses only once all engines have rejected it never pauses in a large
+ * fleet. Its calls then grow with the number of engines, and under load the hosts spend their
+ * processor time on requests that cannot succeed. Sent in rounds with growing pauses, a search
+ * costs about the same with six engines and with six hundred. Not thread-safe.
  */
 public final class ReservePacing {
 
-    /** Asks in a row before a pause. */
-    static final int ROUND_ASKS = 3;
+    /** Reservation requests in a row before a pause. */
+    static final int REQUESTS_PER_ROUND = 3;
 
-    /** Longest pause of a search whose own pauses are shorter, in milliseconds. */
-    static final long LONGEST_PAUSE_MILLIS = 4 * RetryStage.SHORT_PAUSE_MILLIS;
+    /** Maximum pause of a search whose own pauses are shorter, in milliseconds. */
+    static final long MAX_PAUSE_MILLIS = 4 * RetryStage.MIN_PAUSE_MILLIS;
 
-    private int mAsks;
+    private int mRequestsInRound;
     private int mRounds;
 
-    /** Notes that an engine had no room. */
+    /** Records that an engine rejected a reservation for lack of capacity. */
     public void rejected() {
-        mAsks++;
+        mRequestsInRound++;
     }
 
-    /** Returns whether a pause comes before the next ask. */
+    /** Returns whether a pause is due before the next reservation request. */
     public boolean pauseIsDue() {
-        return mAsks >= ROUND_ASKS;
+        return mRequestsInRound >= REQUESTS_PER_ROUND;
     }
 
     /**
      * Ends a round and returns the pause before the next one, in milliseconds.
      *
-     * @param search the search that is spaced
-     * @param nowMillis reading of the clock
+     * @param search the search that is paced
+     * @param nowMillis current clock reading
      */
     public long pauseMillis(ReservationWait search, long nowMillis) {
         long own = search.pauseMillis(nowMillis);
-        long grown = Math.min(own << Math.min(mRounds, Integer.SIZE), LONGEST_PAUSE_MILLIS);
-        mAsks = 0;
+        long grown = Math.min(own << Math.min(mRounds, Integer.SIZE), MAX_PAUSE_MILLIS);
+        mRequestsInRound = 0;
         mRounds++;
         return Math.max(own, grown);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
@@ -1,97 +1,112 @@
 package org.cyclamenpaddle.routing.reservation;
 
 /**
- * What a request that looks for a place has behind it, and what follows for its search.
+ * Stage of a request that searches for capacity, which decides how long and how often it tries.
  *
- * <p>When more requests come than engines can hold, whoever asks next after a place has come free
- * gets it. So the pauses between asks, and the room that is asked for, decide who is served in
- * time.
+ * <p>When more requests arrive than the engines can hold, the next request sent after capacity
+ * becomes free gets it. So the pauses between reservation requests, and the free memory they
+ * require, decide which callers are served in time.
  */
 public enum RetryStage {
-    /** Has only just come; it can still meet its target. */
+    /** First attempt of a new request; it can still meet its target. */
     FIRST {
         @Override
-        long waitMillis(CallerLimits terms) {
-            return (long) (terms.targetMillis() * FIRST_WAIT_SHARE);
+        long waitMillis(CallerLimits limits) {
+            return (long) (limits.targetMillis() * FIRST_WAIT_SHARE);
         }
 
         @Override
-        long pauseMillis(long leftMillis, long waitMillis) {
-            return SHORT_PAUSE_MILLIS;
+        long pauseMillis(long remainingMillis, long waitMillis) {
+            return MIN_PAUSE_MILLIS;
         }
     },
 
     /**
-     * Comes back after a refusal. It has missed its target, and every place that it gets makes
-     * another one late: it asks rarely and for more than it needs, and like others only at the end
-     * of its wait, when it would be refused for good.
+     * Request of a client that returns after a refusal. It has missed its target, and all capacity
+     * that it takes makes another request late: it tries rarely and requires more free memory than
+     * it needs. Only at the end of its wait, when it would be refused for good, does it try like
+     * others.
      */
     RETURNING {
         @Override
-        long waitMillis(CallerLimits terms) {
-            return (long) (terms.silenceMillis() * BACK_WAIT_SHARE);
+        long waitMillis(CallerLimits limits) {
+            return (long) (limits.silenceMillis() * RETURNING_WAIT_SHARE);
         }
 
         @Override
-        long pauseMillis(long leftMillis, long waitMillis) {
-            long calmMillis = leftMillis - (long) (waitMillis * BACK_HURRY_SHARE);
-            return Math.max(SHORT_PAUSE_MILLIS, Math.min(BACK_PAUSE_MILLIS, calmMillis));
+        long pauseMillis(long remainingMillis, long waitMillis) {
+            long millisUntilFinalPart =
+                    remainingMillis - (long) (waitMillis * RETURNING_FINAL_SHARE);
+            return Math.max(
+                    MIN_PAUSE_MILLIS, Math.min(RETURNING_PAUSE_MILLIS, millisUntilFinalPart));
         }
 
         @Override
-        boolean yields(long leftMillis, long waitMillis) {
-            return leftMillis > waitMillis * BACK_HURRY_SHARE;
+        boolean leavesHeadroom(long remainingMillis, long waitMillis) {
+            return remainingMillis > waitMillis * RETURNING_FINAL_SHARE;
         }
     },
 
     /**
-     * Was sent already and has to go on elsewhere. It may have run, so that it cannot be told to
-     * come back: given up, it is lost. It asks often, and for as long as its caller stays.
+     * Request that was already sent to an engine and must continue on another one. It may have run,
+     * so its caller cannot be told to retry, and giving it up loses it. It tries often, and for as
+     * long as its caller stays connected.
      */
     RETRY {
         @Override
-        long waitMillis(CallerLimits terms) {
-            return (long) (terms.silenceMillis() * REPEAT_WAIT_SHARE);
+        long waitMillis(CallerLimits limits) {
+            return (long) (limits.silenceMillis() * RETRY_WAIT_SHARE);
         }
 
         @Override
-        long pauseMillis(long leftMillis, long waitMillis) {
-            return SHORT_PAUSE_MILLIS;
+        long pauseMillis(long remainingMillis, long waitMillis) {
+            return MIN_PAUSE_MILLIS;
         }
     };
 
-    /** Shortest pause between two asks, in milliseconds; an ask itself takes a few. */
-    static final long SHORT_PAUSE_MILLIS = 25;
+    /**
+     * Minimum pause between two reservation requests, in milliseconds; a request itself takes a
+     * few.
+     */
+    static final long MIN_PAUSE_MILLIS = 25;
 
-    /** Pause of a request that comes back, in milliseconds: a sixteenth of the others' rate. */
-    static final long BACK_PAUSE_MILLIS = 16 * SHORT_PAUSE_MILLIS;
+    /**
+     * Pause of a returning client's request, in milliseconds: a sixteenth of the rate of others.
+     */
+    static final long RETURNING_PAUSE_MILLIS = 16 * MIN_PAUSE_MILLIS;
 
-    /** Share of its wait at the end of which a request that comes back asks like others. */
-    static final double BACK_HURRY_SHARE = 0.2;
+    /** Final share of its wait in which a returning client's request tries as often as others. */
+    static final double RETURNING_FINAL_SHARE = 0.2;
 
     /**
-     * Share of the target that a request of its first time may spend on finding a place: what is
-     * left suffices to read the prompt and make the first token.
+     * Share of the target that a new request may spend on reserving capacity: the rest suffices for
+     * prefill and the first token.
      */
     private static final double FIRST_WAIT_SHARE = 0.55;
 
-    /** Share of a bearable silence that a come-back may wait; its prompt is read in the rest. */
-    private static final double BACK_WAIT_SHARE = 0.78;
+    /**
+     * Share of the silence timeout that a returning client's request may wait; the rest is for
+     * prefill.
+     */
+    private static final double RETURNING_WAIT_SHARE = 0.78;
 
     /**
-     * Share of a bearable silence that a request may wait that was sent already; the break, seen
-     * late, and the new reading take the rest.
+     * Share of the silence timeout that a retried request may wait; the time until the broken
+     * stream is detected and the new prefill take the rest.
      */
-    private static final double REPEAT_WAIT_SHARE = 0.6;
+    private static final double RETRY_WAIT_SHARE = 0.6;
 
-    /** Returns for how long the search goes on. */
-    abstract long waitMillis(CallerLimits terms);
+    /** Returns the maximum duration of the search, in milliseconds. */
+    abstract long waitMillis(CallerLimits limits);
 
-    /** Returns the pause before the next ask when so much is left of the search. */
-    abstract long pauseMillis(long leftMillis, long waitMillis);
+    /**
+     * Returns the pause before the next reservation request, given the remaining time of the
+     * search.
+     */
+    abstract long pauseMillis(long remainingMillis, long waitMillis);
 
-    /** Returns whether room for another request must be free beside its own. */
-    boolean yields(long leftMillis, long waitMillis) {
+    /** Returns whether memory for another request must be free beside the request's own. */
+    boolean leavesHeadroom(long remainingMillis, long waitMillis) {
         return false;
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningClients.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningClients.java
@@ -4,49 +4,52 @@
 import java.util.Map;
 
 /**
- * Tells requests of their first time from those that come back after a refusal.
+ * Distinguishes new requests from those of clients that return after a refusal.
  *
- * <p>A caller says how long it will still wait. That is nearly the longest wait of its route the
- * first time, and less by what it spent when it comes back. The longest wait is learned, since
- * callers differ and the configuration does not state it. Not thread-safe.
+ * <p>A caller sends how long it will still wait. For a new request that is nearly the longest wait
+ * of its route; for a returning client it is shorter by the time already spent. The longest wait is
+ * learned, since callers differ and the configuration does not state it. Not thread-safe.
  */
 public final class ReturningClients {
 
     /**
-     * Time after which longer waits of before are forgotten, in milliseconds: several times a wait,
-     * so that a route whose callers have become less patient is judged by them within a minute.
+     * Time after which older, longer waits are dropped, in milliseconds: several times a wait, so
+     * that a route whose callers have begun to wait less is judged by the new waits within a
+     * minute.
      */
-    static final long KEPT_MILLIS = 30_000;
+    static final long RETENTION_MILLIS = 30_000;
 
-    private record Longest(long sinceMillis, long before, long now) {
+    private record LongestWait(long sinceMillis, long previousMillis, long currentMillis) {
 
-        private long either() {
-            return Math.max(before, now);
+        private long maxMillis() {
+            return Math.max(previousMillis, currentMillis);
         }
 
-        private Longest with(long waitMillis, long nowMillis) {
-            return nowMillis - sinceMillis < KEPT_MILLIS
-                    ? new Longest(sinceMillis, before, Math.max(now, waitMillis))
-                    : new Longest(nowMillis, now, waitMillis);
+        private LongestWait with(long waitMillis, long nowMillis) {
+            return nowMillis - sinceMillis < RETENTION_MILLIS
+                    ? new LongestWait(
+                            sinceMillis, previousMillis, Math.max(currentMillis, waitMillis))
+                    : new LongestWait(nowMillis, currentMillis, waitMillis);
         }
     }
 
-    private final Map<String, Longest> mLongest = new HashMap<>();
+    private final Map<String, LongestWait> mLongestWaits = new HashMap<>();
 
     /**
-     * Notes a request's wait and returns whether it comes back after a refusal.
+     * Records a request's wait and returns whether its client returns after a refusal.
      *
      * @param route its route
-     * @param waitMillis how long its caller still waits
-     * @param spentMillis least time that a caller spends on a first try and the wait after it
-     * @param nowMillis reading of the clock
+     * @param waitMillis how long its caller will still wait
+     * @param spentMillis minimum time that a caller spends on a first attempt and the retry delay
+     *     after it
+     * @param nowMillis current clock reading
      */
     public boolean isReturning(String route, long waitMillis, long spentMillis, long nowMillis) {
-        Longest longest =
-                mLongest.merge(
+        LongestWait longest =
+                mLongestWaits.merge(
                         route,
-                        new Longest(nowMillis, 0, waitMillis),
+                        new LongestWait(nowMillis, 0, waitMillis),
                         (old, first) -> old.with(waitMillis, nowMillis));
-        return waitMillis < longest.either() - spentMillis;
+        return waitMillis < longest.maxMillis() - spentMillis;
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/package-info.java
@@ -1,2 +1,2 @@
-/** How a request looks for a place at an engine while all engines are nearly full. */
+/** Reservation of engine capacity for a request while all engines are nearly full. */
 package org.cyclamenpaddle.routing.reservation;
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/AdmissionTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/AdmissionTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void admitsWhatCanBeInTime() {
+    public void admitsRequestThatCanMeetDeadline() {
         Admitted admitted = ADMISSION.admit(request(1_000, 580), pool(100, 300), random(1)).get();
 
         assertEquals(admitted.firstTokenInMillis(), 300 + 20);
@@ -35,11 +35,11 @@
     }
 
     /**
-     * The caller sees 503 at once with a time to come back. The decode pool is full for longer than
-     * its first token may take, and a prefill now would be evicted unused.
+     * The decode pool is full for longer than the first token may take, so a prefill now would be
+     * evicted unused. The caller must get a 503 with a retry delay at once.
      */
     @Test
-    public void refusesAtOnceWhatCannotBeInTime() {
+    public void refusesAtOnceRequestThatCannotMeetDeadline() {
         Refusal refusal = ADMISSION.admit(request(1_000, 580), pool(0, 2_580), random(1)).getLeft();
 
         assertEquals(refusal.reason(), RefusalReason.DEADLINE_UNREACHABLE);
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void refusesWhatNoEngineCanHold() {
-        PlacementRequest huge =
+    public void refusesRequestLargerThanAnyEngine() {
+        PlacementRequest tooLarge =
                 new PlacementRequest(
                         SERVICE,
                         1_000,
@@ -60,7 +60,7 @@
                         580);
 
         assertEquals(
-                ADMISSION.admit(huge, pool(0, 0), random(1)).getLeft().reason(),
+                ADMISSION.admit(tooLarge, pool(0, 0), random(1)).getLeft().reason(),
                 RefusalReason.PROMPT_TOO_LONG);
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantAsksTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantRequestFactoryTest.java
@@ -11,16 +11,17 @@
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.testng.annotations.Test;
 
-public class GrantAsksTest {
+public class GrantRequestFactoryTest {
 
-    private static final GrantRequestFactory ASKS = new GrantRequestFactory(30, 80);
+    private static final GrantRequestFactory REQUESTS = new GrantRequestFactory(30, 80);
     private static final long TRANSFER = 10;
     private static final long TOKEN = 20;
 
     @Test
-    public void prefillAsksForUncachedTokensOnly() {
+    public void prefillRequestsUncachedTokensOnly() {
         GrantAsk ask =
-                ASKS.prefill(attempt(1), request(1_000, 580), new Candidate(id(1), 0, 256), 500);
+                REQUESTS.prefill(
+                        attempt(1), request(1_000, 580), new Candidate(id(1), 0, 256), 500);
 
         assertEquals(ask.tokens(), 744);
         assertEquals(ask.latestInMillis(), 500 - 30);
@@ -29,7 +30,7 @@
     @Test
     public void decodeSlotIsNeededFromEndOfPrefill() {
         GrantAsk ask =
-                ASKS.decode(
+                REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 150, 500);
 
         assertEquals(ask.neededInMillis(), 150 - TRANSFER);
@@ -38,27 +39,27 @@
     }
 
     /**
-     * A long prompt's caller still gets an answer. Its prefill ends so late that no margin for a
-     * late slot is left; a slot that is free on time serves it, any later one does not.
+     * The prefill of a long prompt ends so late that no margin for a late slot is left. The request
+     * must still get a slot that is free on time, but no later one.
      */
     @Test
-    public void longPromptMayHaveSlotOnTime() {
+    public void longPromptMayGetSlotThatIsFreeOnTime() {
         GrantAsk tight =
-                ASKS.decode(
+                REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 430, 500);
-        GrantAsk hopeless =
-                ASKS.decode(
+        GrantAsk unreachable =
+                REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 460, 500);
 
         assertEquals(tight.latestInMillis(), tight.neededInMillis());
-        assertEquals(hopeless.latestInMillis(), 500 - TRANSFER - TOKEN - 30);
-        assertTrue(hopeless.latestInMillis() < hopeless.neededInMillis());
+        assertEquals(unreachable.latestInMillis(), 500 - TRANSFER - TOKEN - 30);
+        assertTrue(unreachable.latestInMillis() < unreachable.neededInMillis());
     }
 
     @Test
     public void lateSlotIsReplacedByOneThatIsFreeNow() {
         GrantAsk ask =
-                ASKS.decodeNow(attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20));
+                REQUESTS.decodeNow(attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20));
 
         assertEquals(ask.neededInMillis(), 0);
         assertEquals(ask.latestInMillis(), 0);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
@@ -9,23 +9,24 @@
 import java.util.stream.IntStream;
 
 /**
- * Decode engines in virtual time, filled by hosts that each know only late reports.
+ * Simulates decode engines in virtual time, loaded by hosts that each know only late reports.
  *
- * <p>Memory goes by tokens; a generation holds its place or what it has grown to, whichever is
- * more. When an engine runs out, the newest generation that has outgrown its place is preempted.
+ * <p>Memory is counted in tokens; a generation holds its reservation or what it has grown to,
+ * whichever is more. When an engine runs out of memory, the newest generation that exceeds its
+ * reservation is preempted.
  */
 final class EnginePoolModel {
 
     /**
-     * What a pool and its load look like.
+     * Parameters of a pool and its load.
      *
      * @param engines decode engines
      * @param memoryTokens memory of each
-     * @param promptTokens mean prompt
-     * @param outputTokens mean answer
+     * @param promptTokens mean prompt length
+     * @param outputTokens mean output length
      * @param spread spread of both, and of callers' expectations (logarithmic)
-     * @param calmPerSecond generations a second
-     * @param burstPerSecond the same within bursts
+     * @param calmPerSecond generations per second outside bursts
+     * @param burstPerSecond generations per second within bursts
      */
     record Shape(
             int engines,
@@ -36,21 +37,22 @@
             double calmPerSecond,
             double burstPerSecond) {}
 
-    /** What became of all generations. */
+    /** Outcome of all generations. */
     record Outcome(int generations, int placed, int preempted) {
 
         double preemptedShare() {
             return (double) preempted / Math.max(1, generations);
         }
 
-        double wellShare() {
+        double undisturbedShare() {
             return (double) (placed - preempted) / Math.max(1, generations);
         }
     }
 
-    /** Decides how much must be free at an engine beside a generation's place. */
+    /** Decides how much memory must be free on an engine beside a generation's reservation. */
     interface Policy {
-        OptionalLong room(MemoryForecast outlook, EngineGenerations work, NewGeneration more);
+        OptionalLong requiredFreeTokens(
+                MemoryForecast forecast, EngineGenerations work, NewGeneration added);
     }
 
     private static final int HOSTS = 6;
@@ -60,37 +62,38 @@
     private static final long REPORT_LAG_MILLIS = 900;
     private static final long STEP_MILLIS = 50;
     private static final long WAIT_MILLIS = 500;
-    private static final double CAUTION = 1;
+    private static final double SAFETY_DEVIATIONS = 1;
 
-    private record Waiting(long sinceMillis, int host, NewGeneration work, long length) {}
+    private record Waiting(long sinceMillis, int host, NewGeneration generation, long length) {}
 
-    private record Run(long startMillis, NewGeneration work, long length, int host) {
+    private record Generation(long startMillis, NewGeneration generation, long length, int host) {
 
-        long made(long nowMillis) {
+        long generated(long nowMillis) {
             return Math.min(length, nowMillis - startMillis);
         }
 
-        long place() {
-            return work.reservedTokens();
+        long reserved() {
+            return generation.reservedTokens();
         }
 
         long held(long nowMillis) {
-            return Math.max(place(), work.promptTokens() + made(nowMillis));
+            return Math.max(reserved(), generation.promptTokens() + generated(nowMillis));
         }
 
-        boolean outgrown(long nowMillis) {
-            return work.promptTokens() + made(nowMillis) > place();
+        boolean exceedsReservation(long nowMillis) {
+            return generation.promptTokens() + generated(nowMillis) > reserved();
         }
 
         RunningGeneration reported(long nowMillis) {
-            return new RunningGeneration(work.promptTokens() + made(nowMillis), made(nowMillis));
+            return new RunningGeneration(
+                    generation.promptTokens() + generated(nowMillis), generated(nowMillis));
         }
     }
 
     private final Shape mShape;
     private final Random mRandom;
     private final Policy mPolicy;
-    private final List<List<Run>> mEngines = new ArrayList<>();
+    private final List<List<Generation>> mEngines = new ArrayList<>();
     private final List<List<List<RunningGeneration>>> mHistory = new ArrayList<>();
     private final List<OutputLengths> mLengths = new ArrayList<>();
     private final List<Waiting> mWaiting = new ArrayList<>();
@@ -106,41 +109,43 @@
         IntStream.range(0, HOSTS).forEach(i -> mLengths.add(new OutputLengths()));
     }
 
-    Outcome play() {
+    Outcome run() {
         for (long now = 0; now < LENGTH_MILLIS; now += STEP_MILLIS) {
             long moment = now;
             mEngines.forEach(engine -> endAndPreempt(engine, moment));
             mHistory.add(mEngines.stream().map(engine -> reports(engine, moment)).toList());
             arrive(now);
-            place(now);
+            admitWaiting(now);
         }
         return new Outcome(mGenerations, mPlaced, mPreempted);
     }
 
-    private static List<RunningGeneration> reports(List<Run> engine, long nowMillis) {
-        return engine.stream().map(run -> run.reported(nowMillis)).toList();
+    private static List<RunningGeneration> reports(List<Generation> engine, long nowMillis) {
+        return engine.stream().map(generation -> generation.reported(nowMillis)).toList();
     }
 
-    private void endAndPreempt(List<Run> engine, long nowMillis) {
+    private void endAndPreempt(List<Generation> engine, long nowMillis) {
         engine.stream()
-                .filter(run -> run.made(nowMillis) >= run.length())
+                .filter(generation -> generation.generated(nowMillis) >= generation.length())
                 .forEach(
-                        run ->
-                                mLengths.get(run.host())
-                                        .ended(run.work().expectedTokens(), run.length()));
-        engine.removeIf(run -> run.made(nowMillis) >= run.length());
+                        generation ->
+                                mLengths.get(generation.host())
+                                        .ended(
+                                                generation.generation().expectedTokens(),
+                                                generation.length()));
+        engine.removeIf(generation -> generation.generated(nowMillis) >= generation.length());
         while (used(engine, nowMillis) > mShape.memoryTokens()) {
-            Optional<Run> newest =
+            Optional<Generation> newest =
                     engine.stream()
-                            .filter(run -> run.outgrown(nowMillis))
-                            .max(Comparator.comparing(Run::startMillis));
+                            .filter(generation -> generation.exceedsReservation(nowMillis))
+                            .max(Comparator.comparing(Generation::startMillis));
             engine.remove(newest.orElseThrow());
             mPreempted++;
         }
     }
 
-    private static long used(List<Run> engine, long nowMillis) {
-        return engine.stream().mapToLong(run -> run.held(nowMillis)).sum();
+    private static long used(List<Generation> engine, long nowMillis) {
+        return engine.stream().mapToLong(generation -> generation.held(nowMillis)).sum();
     }
 
     private void arrive(long nowMillis) {
@@ -148,8 +153,8 @@
         double perSecond = burst ? mShape.burstPerSecond() : mShape.calmPerSecond();
         double perStep = perSecond * STEP_MILLIS / 1_000;
         for (double left = perStep; mRandom.nextDouble() < left; left--) {
-            long length = drawn(mShape.outputTokens());
-            NewGeneration work = new NewGeneration(drawn(mShape.promptTokens()), drawn(length));
+            long length = draw(mShape.outputTokens());
+            NewGeneration work = new NewGeneration(draw(mShape.promptTokens()), draw(length));
             int host = mRandom.nextInt(HOSTS);
             mLengths.get(host).started(work);
             mWaiting.add(new Waiting(nowMillis, host, work, length));
@@ -157,38 +162,40 @@
         }
     }
 
-    private long drawn(long median) {
-        double drawn = median * Math.exp(mShape.spread() * mRandom.nextGaussian());
-        return Math.max(50, Math.min(2L * median, Math.round(drawn)));
+    private long draw(long median) {
+        double sample = median * Math.exp(mShape.spread() * mRandom.nextGaussian());
+        return Math.max(50, Math.min(2L * median, Math.round(sample)));
     }
 
-    private void place(long nowMillis) {
+    private void admitWaiting(long nowMillis) {
         mWaiting.removeIf(waiting -> nowMillis - waiting.sinceMillis() > WAIT_MILLIS);
-        mWaiting.removeIf(waiting -> taken(waiting, nowMillis));
+        mWaiting.removeIf(waiting -> admitted(waiting, nowMillis));
     }
 
-    private boolean taken(Waiting waiting, long nowMillis) {
+    private boolean admitted(Waiting waiting, long nowMillis) {
         int first = mRandom.nextInt(mEngines.size());
         return IntStream.range(0, mEngines.size())
                 .map(i -> (first + i) % mEngines.size())
-                .anyMatch(engine -> takenAt(engine, waiting, nowMillis));
+                .anyMatch(engine -> admittedAt(engine, waiting, nowMillis));
     }
 
-    private boolean takenAt(int engine, Waiting waiting, long nowMillis) {
+    private boolean admittedAt(int engine, Waiting waiting, long nowMillis) {
         int lag = (int) (REPORT_LAG_MILLIS / STEP_MILLIS);
         int at = Math.max(0, mHistory.size() - 1 - lag);
         EngineGenerations work =
                 new EngineGenerations(
                         mShape.memoryTokens(), mHistory.get(at).get(engine), REPORT_LAG_MILLIS);
-        MemoryForecast outlook = new MemoryForecast(mLengths.get(waiting.host()), CAUTION);
-        Run run = new Run(nowMillis, waiting.work(), waiting.length(), waiting.host());
+        MemoryForecast forecast =
+                new MemoryForecast(mLengths.get(waiting.host()), SAFETY_DEVIATIONS);
+        Generation generation =
+                new Generation(nowMillis, waiting.generation(), waiting.length(), waiting.host());
         long free = mShape.memoryTokens() - used(mEngines.get(engine), nowMillis);
-        OptionalLong room = mPolicy.room(outlook, work, waiting.work());
-        boolean takes = room.isPresent() && free >= run.place() + room.getAsLong();
-        if (takes) {
-            mEngines.get(engine).add(run);
+        OptionalLong required = mPolicy.requiredFreeTokens(forecast, work, waiting.generation());
+        boolean fits = required.isPresent() && free >= generation.reserved() + required.getAsLong();
+        if (fits) {
+            mEngines.get(engine).add(generation);
             mPlaced++;
         }
-        return takes;
+        return fits;
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
@@ -15,40 +15,41 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays bursts of twice the usual load on pools whose answers hold as many tokens as their prompts.
+ * Simulates bursts of twice the normal load on pools whose outputs hold as many tokens as their
+ * prompts.
  *
  * <p>Pattern: generations that arrive together also grow together, and callers' expectations are
- * right in the median only. Engines that looked free fill up seconds later, all at once.
+ * right in the median only. Engines that seemed free run out of memory seconds later, all at once.
  */
 public class MemoryForecastLoadTest {
 
-    private static final Policy PLACES_ALONE = (outlook, work, more) -> OptionalLong.of(0);
+    private static final Policy RESERVATION_ONLY = (forecast, work, added) -> OptionalLong.of(0);
 
-    private static final Policy FORESEEN =
-            (outlook, work, more) -> outlook.requiredFreeTokens(work, more);
+    private static final Policy FORECAST =
+            (forecast, work, added) -> forecast.requiredFreeTokens(work, added);
 
     private static final int SHAPES = 12;
 
-    private record Played(Shape shape, Outcome alone, Outcome foreseen) {
+    private record Comparison(Shape shape, Outcome reservationOnly, Outcome forecast) {
 
-        static Played of(int seed) {
-            Shape shape = drawn(new Random(seed));
-            return new Played(
+        static Comparison of(int seed) {
+            Shape shape = draw(new Random(seed));
+            return new Comparison(
                     shape,
-                    new EnginePoolModel(shape, seed, PLACES_ALONE).play(),
-                    new EnginePoolModel(shape, seed, FORESEEN).play());
+                    new EnginePoolModel(shape, seed, RESERVATION_ONLY).run(),
+                    new EnginePoolModel(shape, seed, FORECAST).run());
         }
     }
 
-    private List<Played> mPlayed;
+    private List<Comparison> mComparisons;
 
-    /** Pools of different sizes, prompts, answers and bursts; the seed makes each of them. */
+    /** Runs pools of different sizes, prompts, outputs and bursts, each drawn from its seed. */
     @BeforeClass
-    public void playAllShapes() {
-        mPlayed = IntStream.range(0, SHAPES).parallel().mapToObj(Played::of).toList();
+    public void runAllShapes() {
+        mComparisons = IntStream.range(0, SHAPES).parallel().mapToObj(Comparison::of).toList();
     }
 
-    private static Shape drawn(Random random) {
+    private static Shape draw(Random random) {
         int engines = 3 + random.nextInt(8);
         long prompt = 2_000 + random.nextInt(4_000);
         long output = prompt / 2 + random.nextInt(3_000);
@@ -66,83 +67,90 @@
     }
 
     /*
-     * A caller's stream runs well for seconds; then its engine is out of memory, its prompt is read
-     * again, and the caller waits in the middle of its answer. It happens as all that came in one
-     * burst outgrow their places together. With room foreseen it happens to few, and these are not
-     * bought by turning many away.
+     * A caller's stream runs well for seconds; then its engine runs out of memory, its prefill is
+     * repeated, and the caller waits in the middle of the output. This happens when all generations
+     * of one burst outgrow their reservations together. With the forecast it happens to few, and
+     * not at the cost of many rejections.
      */
     @Test
-    public void burstThatGrowsTogetherPreemptsFew() {
-        for (Played played : mPlayed) {
-            assertTrue(played.foreseen().preemptedShare() < 0.02, played.toString());
+    public void burstThatGrowsTogetherCausesFewPreemptions() {
+        for (Comparison comparison : mComparisons) {
+            assertTrue(comparison.forecast().preemptedShare() < 0.02, comparison.toString());
             assertTrue(
-                    played.foreseen().wellShare() > played.alone().wellShare() - 0.1,
-                    played.toString());
+                    comparison.forecast().undisturbedShare()
+                            > comparison.reservationOnly().undisturbedShare() - 0.1,
+                    comparison.toString());
         }
     }
 
     @Test
-    public void preemptionsFallToAThirdOverAllShapes() {
-        int alone = mPlayed.stream().mapToInt(played -> played.alone().preempted()).sum();
-        int foreseen = mPlayed.stream().mapToInt(played -> played.foreseen().preempted()).sum();
-        assertTrue(alone > 0, "the load presses on no engine");
-        assertTrue(foreseen * 3 <= alone, foreseen + " against " + alone);
+    public void preemptionsFallToOneThirdOverAllShapes() {
+        int reservationOnly =
+                mComparisons.stream()
+                        .mapToInt(comparison -> comparison.reservationOnly().preempted())
+                        .sum();
+        int forecast =
+                mComparisons.stream()
+                        .mapToInt(comparison -> comparison.forecast().preempted())
+                        .sum();
+        assertTrue(reservationOnly > 0, "the load preempts nothing");
+        assertTrue(forecast * 3 <= reservationOnly, forecast + " against " + reservationOnly);
     }
 
-    /** Engines that hold nothing take any generation that fits them, with nothing learned yet. */
+    /** An idle engine takes any generation that fits it, before any length is learned. */
     @Test
     public void emptyEngineTakesWhatFitsIt() {
         OutputLengths lengths = new OutputLengths();
         NewGeneration work = new NewGeneration(5_000, 3_000);
         lengths.started(work);
-        MemoryForecast outlook = new MemoryForecast(lengths, 1);
+        MemoryForecast forecast = new MemoryForecast(lengths, 1);
         EngineGenerations empty = new EngineGenerations(8_000, List.of(), 500);
-        assertTrue(outlook.requiredFreeTokens(empty, work).isPresent());
+        assertTrue(forecast.requiredFreeTokens(empty, work).isPresent());
         EngineGenerations small = new EngineGenerations(7_900, List.of(), 500);
-        assertEquals(outlook.requiredFreeTokens(small, work), OptionalLong.empty());
+        assertEquals(forecast.requiredFreeTokens(small, work), OptionalLong.empty());
     }
 
     /**
-     * Engines fill up with generations that have just begun: at some number no more is taken, and
-     * from then on never one.
+     * An engine fills up with generations that have just started: from some number on it takes no
+     * more.
      */
     @Test
     public void engineFullOfYoungGenerationsTakesNoMore() {
-        MemoryForecast outlook = new MemoryForecast(lengthsAround(3_000), 1);
+        MemoryForecast forecast = new MemoryForecast(lengthsAround(3_000), 1);
         boolean refused = false;
-        for (int runs = 0; runs < 14; runs++) {
-            EngineGenerations engine = running(runs, 100);
-            boolean taken = outlook.requiredFreeTokens(engine, USUAL).isPresent();
-            assertTrue(!refused || !taken, "taken with " + runs + " after a refusal");
+        for (int count = 0; count < 14; count++) {
+            EngineGenerations engine = running(count, 100);
+            boolean taken = forecast.requiredFreeTokens(engine, AVERAGE).isPresent();
+            assertTrue(!refused || !taken, "taken with " + count + " running after a refusal");
             refused |= !taken;
         }
         assertTrue(refused, "fourteen generations of 8,000 tokens in 80,000");
     }
 
-    /** Generations that are about to end give their memory back before a new one has grown. */
+    /** Generations that are about to end release their memory before a new one has grown. */
     @Test
     public void engineWhoseGenerationsAreAboutToEndTakesOneMore() {
-        MemoryForecast outlook = new MemoryForecast(lengthsAround(3_000), 1);
+        MemoryForecast forecast = new MemoryForecast(lengthsAround(3_000), 1);
         assertTrue(
-                outlook.requiredFreeTokens(running(10, 100), USUAL).isEmpty(),
-                "ten that have just begun");
+                forecast.requiredFreeTokens(running(10, 100), AVERAGE).isEmpty(),
+                "ten that have just started");
         assertTrue(
-                outlook.requiredFreeTokens(running(10, 4_000), USUAL).isPresent(),
-                "ten at their end");
+                forecast.requiredFreeTokens(running(10, 4_000), AVERAGE).isPresent(),
+                "ten that are about to end");
     }
 
-    private static final NewGeneration USUAL = new NewGeneration(5_000, 3_000);
+    private static final NewGeneration AVERAGE = new NewGeneration(5_000, 3_000);
 
-    private static EngineGenerations running(int runs, long made) {
-        RunningGeneration one = new RunningGeneration(USUAL.promptTokens() + made, made);
-        return new EngineGenerations(80_000, Collections.nCopies(runs, one), 500);
+    private static EngineGenerations running(int count, long made) {
+        RunningGeneration one = new RunningGeneration(AVERAGE.promptTokens() + made, made);
+        return new EngineGenerations(80_000, Collections.nCopies(count, one), 500);
     }
 
     private static OutputLengths lengthsAround(long tokens) {
         OutputLengths lengths = new OutputLengths();
         for (int i = 0; i < 30; i++) {
-            lengths.started(USUAL);
-            lengths.ended(USUAL.expectedTokens(), tokens / 2 + i * tokens / 30);
+            lengths.started(AVERAGE);
+            lengths.ended(AVERAGE.expectedTokens(), tokens / 2 + i * tokens / 30);
         }
         return lengths;
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/placement/PlacementPolicyTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/placement/PlacementPolicyTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void leavesOutExcludedAndPutsDoubtfulLast() {
+    public void skipsExcludedAndRanksPossiblyUnreachableLast() {
         BackendView excluded =
                 new BackendView(backend(1, 20), Optional.empty(), 0, 0, true, false, 0);
         BackendView suspected =
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void spillsToFarDomainOnlyWhenItPays() {
+    public void usesRemoteDomainOnlyWhenCheaper() {
         BackendView far =
                 new BackendView(backend(2, 20), view(2, 0, 20, 0).hint(), 0, 0, false, false, 30);
 
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Callers would see refusals at the peak though there is room. A hundred hosts hold the same
-     * hint, a heartbeat old, and place a request each before the next one. All on one server would
-     * fill it and leave the others idle.
+     * A hundred hosts hold the same hint, which is one heartbeat old, and each places a request
+     * before the next hint. If all chose the same server, it would fill up while the others are
+     * idle, and callers would be refused although capacity is free.
      */
     @Test
     public void hostsWithTheSameHintSpread() {
@@ -97,8 +97,8 @@
             chosen.merge(best, 1, Integer::sum);
         }
 
-        int most = chosen.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        assertTrue(most <= 20, "of 100 requests one server got " + most);
+        int max = chosen.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+        assertTrue(max <= 20, "of 100 requests one server got " + max);
     }
 
     @Test
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/placement/PrefixIndexTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/placement/PrefixIndexTest.java
@@ -44,12 +44,12 @@
     }
 
     /**
-     * Callers see slower first tokens than predicted. Events are lost, an eviction maybe among
-     * them. Believing the old blocks in full would send prompts to an engine that computes them
-     * anew.
+     * Events are lost, possibly an eviction among them. If the older blocks still counted in full,
+     * prompts would go to an engine that has to compute them again, and first tokens would be later
+     * than predicted.
      */
     @Test
-    public void gapMakesOlderBlocksDoubtful() {
+    public void gapHalvesWeightOfOlderBlocks() {
         PrefixIndex index = withTwoBlocks();
         index.apply(ENGINE, List.of(stored(5, 12)), 5);
         assertEquals(index.cachedTokens(ENGINE, PROMPT), 2 * BLOCK);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void repeatedEventsChangeNothing() {
+    public void duplicateEventsAreIgnored() {
         PrefixIndex index = withTwoBlocks();
         index.apply(ENGINE, List.of(evicted(1, 10), stored(2, 11)), 2);
         assertEquals(index.cachedTokens(ENGINE, PROMPT), 2 * BLOCK);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void memoryIsBoundedAndKeepsWhatIsUsed() {
+    public void memoryIsBoundedAndRecentlyUsedBlocksAreRetained() {
         PrefixIndex index = new PrefixIndex(100);
         UniformRandomProvider random = Fixtures.random(3);
         index.prefilled(ENGINE, PROMPT);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelayTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelayTest.java
@@ -6,42 +6,54 @@
 import java.util.OptionalLong;
 import org.testng.annotations.Test;
 
-/** Tests when callers that found no place are asked to come back. */
+/** Tests the retry delay of rejected callers. */
 public class ClientRetryDelayTest {
 
-    private static final CallerLimits TERMS = new CallerLimits(900, 3_600);
+    private static final CallerLimits LIMITS = new CallerLimits(900, 3_600);
 
-    /** Callers of long generations wait longer: sooner they would meet the same full engines. */
+    /**
+     * Longer generations give longer delays: a caller that returns earlier finds the same engines
+     * full.
+     */
     @Test
     public void waitFollowsHowLongGenerationsTake() {
-        assertEquals(ClientRetryDelay.minMillis(5_000, TERMS), 3_000);
-        assertEquals(ClientRetryDelay.minMillis(1_000, TERMS), 600);
+        assertEquals(ClientRetryDelay.minMillis(5_000, LIMITS), 3_000);
+        assertEquals(ClientRetryDelay.minMillis(1_000, LIMITS), 600);
     }
 
-    /** With nothing seen yet, the wait stays within the silence that callers bear. */
+    /** Before any generation has ended, the delay stays below the silence timeout. */
     @Test
-    public void firstWaitFollowsTheRoute() {
-        long least = ClientRetryDelay.minMillis(0, TERMS);
-        assertTrue(least > 0 && least < TERMS.silenceMillis(), "least " + least);
+    public void firstWaitIsBelowSilenceTimeout() {
+        long min = ClientRetryDelay.minMillis(0, LIMITS);
+        assertTrue(min > 0 && min < LIMITS.silenceMillis(), "delay " + min);
     }
 
-    /** A come-back leaves room for others until the end of its wait; a first request never. */
+    /**
+     * A returning client leaves free memory for others until the end of its wait; other requests
+     * never do.
+     */
     @Test
-    public void onlyComeBacksLeaveRoomAndNotAtTheirEnd() {
-        ReservationWait back = ReservationWait.begin(0, TERMS, RetryStage.RETURNING);
-        assertTrue(back.yields(0));
-        assertTrue(!back.yields(back.waitMillis() - 1));
-        assertTrue(!ReservationWait.begin(0, TERMS, RetryStage.FIRST).yields(0));
-        assertTrue(!ReservationWait.begin(0, TERMS, RetryStage.RETRY).yields(0));
+    public void onlyReturningClientsLeaveHeadroomExceptAtEndOfWait() {
+        ReservationWait returning = ReservationWait.begin(0, LIMITS, RetryStage.RETURNING);
+        assertTrue(returning.leavesHeadroom(0));
+        assertTrue(!returning.leavesHeadroom(returning.waitMillis() - 1));
+        assertTrue(!ReservationWait.begin(0, LIMITS, RetryStage.FIRST).leavesHeadroom(0));
+        assertTrue(!ReservationWait.begin(0, LIMITS, RetryStage.RETRY).leavesHeadroom(0));
     }
 
-    /** Large requests that came back left as much again as they needed, and found no engine. */
+    /**
+     * Large returning requests once left as much free memory again as they needed, and found no
+     * engine.
+     */
     @Test
-    public void largeRequestLeavesRoomForAUsualOneOnly() {
-        ReservationWait back = ReservationWait.begin(0, TERMS, RetryStage.RETURNING);
-        assertEquals(back.headroomTokens(0, 22_000, OptionalLong.of(6_000)), 6_000);
-        assertEquals(back.headroomTokens(0, 2_000, OptionalLong.of(6_000)), 2_000);
-        assertEquals(back.headroomTokens(0, 22_000, OptionalLong.empty()), 22_000);
-        assertEquals(back.headroomTokens(back.waitMillis() - 1, 22_000, OptionalLong.of(6_000)), 0);
+    public void largeRequestLeavesHeadroomOfAverageRequest() {
+        ReservationWait returning = ReservationWait.begin(0, LIMITS, RetryStage.RETURNING);
+        assertEquals(returning.headroomTokens(0, 22_000, OptionalLong.of(6_000)), 6_000);
+        assertEquals(returning.headroomTokens(0, 2_000, OptionalLong.of(6_000)), 2_000);
+        assertEquals(returning.headroomTokens(0, 22_000, OptionalLong.empty()), 22_000);
+        assertEquals(
+                returning.headroomTokens(
+                        returning.waitMillis() - 1, 22_000, OptionalLong.of(6_000)),
+                0);
     }
 }
