--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/OutputLengthEstimator.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/OutputLengthEstimator.java
@@ -8,48 +8,48 @@
 import org.cyclamenpaddle.core.id.TeamName;
 
 /**
- * Estimates how many tokens a request will generate, from those that completed.
+ * Estimates the output length of a request from those of completed requests.
  *
- * <p>A team's own requests tell most, but there must be enough of them; else those of the whole
- * service are taken, and with none the request's own bound. Old requests are forgotten by halves:
- * of two windows, the older one is dropped when the younger is full. Memory is bounded: the pair of
- * service and team heard of longest ago goes first. Not thread-safe.
+ * <p>A team's own requests are the best predictor, but there must be enough of them; otherwise
+ * those of the whole service are used, and without any the request's own bound. Old requests expire
+ * by halves: of two windows, the older one is dropped when the newer one is full. Memory is
+ * bounded: the least recently used pair of service and team is evicted first. Not thread-safe.
  */
 public final class OutputLengthEstimator {
 
-    private static final int MOST_TOKENS = 131_072;
+    private static final int MAX_TOKENS = 131_072;
     private static final int SIGNIFICANT_DIGITS = 1;
-    private static final int WINDOW = 500;
-    private static final int ENOUGH = 20;
+    private static final int WINDOW_SAMPLES = 500;
+    private static final int MIN_SAMPLES = 20;
     private static final double PERCENT = 100;
 
     private record Source(ServiceName service, Optional<TeamName> team) {}
 
     private static final class Window {
 
-        private IntCountsHistogram mYounger = histogram();
-        private IntCountsHistogram mOlder = histogram();
+        private IntCountsHistogram mCurrent = histogram();
+        private IntCountsHistogram mPrevious = histogram();
 
         private void add(int tokens) {
-            if (mYounger.getTotalCount() >= WINDOW) {
-                mOlder = mYounger;
-                mYounger = histogram();
+            if (mCurrent.getTotalCount() >= WINDOW_SAMPLES) {
+                mPrevious = mCurrent;
+                mCurrent = histogram();
             }
-            mYounger.recordValue(Math.min(MOST_TOKENS, tokens));
+            mCurrent.recordValue(Math.min(MAX_TOKENS, tokens));
         }
 
         private long count() {
-            return mYounger.getTotalCount() + mOlder.getTotalCount();
+            return mCurrent.getTotalCount() + mPrevious.getTotalCount();
         }
 
         private int quantile(double share) {
-            IntCountsHistogram both = mOlder.copy();
-            both.add(mYounger);
+            IntCountsHistogram both = mPrevious.copy();
+            both.add(mCurrent);
             return Math.toIntExact(both.getValueAtPercentile(share * PERCENT));
         }
 
         private static IntCountsHistogram histogram() {
-            return new IntCountsHistogram(MOST_TOKENS, SIGNIFICANT_DIGITS);
+            return new IntCountsHistogram(MAX_TOKENS, SIGNIFICANT_DIGITS);
         }
     }
 
@@ -57,32 +57,32 @@
     private final Map<Source, Window> mWindows;
 
     /**
-     * Creates an estimator that knows nothing.
+     * Creates an estimator without samples.
      *
      * @param quantile share of requests that end within the estimate, from 0 to 1
-     * @param mostSources services and pairs of service and team that are remembered
+     * @param maxSources maximum number of services and pairs of service and team
      */
-    public OutputLengthEstimator(double quantile, int mostSources) {
-        if (quantile <= 0 || quantile > 1 || mostSources < 1) {
+    public OutputLengthEstimator(double quantile, int maxSources) {
+        if (quantile <= 0 || quantile > 1 || maxSources < 1) {
             throw new IllegalArgumentException(
-                    "estimator out of range: quantile " + quantile + ", sources " + mostSources);
+                    "estimator out of range: quantile " + quantile + ", sources " + maxSources);
         }
         mQuantile = quantile;
         mWindows =
                 new LinkedHashMap<>(16, 0.75f, true) {
                     @Override
                     protected boolean removeEldestEntry(Map.Entry<Source, Window> eldest) {
-                        return size() > mostSources;
+                        return size() > maxSources;
                     }
                 };
     }
 
     /**
-     * Takes in a completed request.
+     * Records a completed request.
      *
      * @param service its service
      * @param team its team
-     * @param tokens tokens it generated
+     * @param tokens tokens that it generated
      */
     public void completed(ServiceName service, TeamName team, int tokens) {
         add(new Source(service, Optional.of(team)), tokens);
@@ -94,7 +94,7 @@
      *
      * @param service its service
      * @param team its team
-     * @param maxTokens bound that its caller set
+     * @param maxTokens upper bound set by its caller
      */
     public int expectedTokens(ServiceName service, TeamName team, int maxTokens) {
         int expected =
@@ -110,7 +110,7 @@
 
     private Optional<Integer> estimate(Source source) {
         return Optional.ofNullable(mWindows.get(source))
-                .filter(window -> window.count() >= ENOUGH)
+                .filter(window -> window.count() >= MIN_SAMPLES)
                 .map(window -> window.quantile(mQuantile));
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
@@ -5,16 +5,16 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Learns how the time between tokens of a decode engine grows with its batch.
+ * Learns how the time between tokens of a decode engine grows with its batch size.
  *
- * <p>A straight line, fitted by least squares with old samples fading out. Not thread-safe.
+ * <p>A linear regression by least squares with exponentially decaying weights. Not thread-safe.
  */
 public final class TokenIntervalModel {
 
-    private static final double FADING = 0.995;
-    private static final double ENOUGH = 20;
-    private static final double KEPT_SHARE = 0.98;
-    private static final double LEAST_SPREAD = 0.5;
+    private static final double DECAY = 0.995;
+    private static final double MIN_WEIGHT = 20;
+    private static final double TARGET_SHARE = 0.98;
+    private static final double MIN_BATCH_VARIANCE = 0.5;
 
     private static final class Fit {
 
@@ -25,17 +25,17 @@
         private double mBatchMillis;
 
         private void add(double batch, double millis) {
-            mWeight = mWeight * FADING + 1;
-            mBatch = mBatch * FADING + batch;
-            mMillis = mMillis * FADING + millis;
-            mBatchSquared = mBatchSquared * FADING + batch * batch;
-            mBatchMillis = mBatchMillis * FADING + batch * millis;
+            mWeight = mWeight * DECAY + 1;
+            mBatch = mBatch * DECAY + batch;
+            mMillis = mMillis * DECAY + millis;
+            mBatchSquared = mBatchSquared * DECAY + batch * batch;
+            mBatchMillis = mBatchMillis * DECAY + batch * millis;
         }
 
         private double slope() {
             double variance = mBatchSquared / mWeight - square(mBatch / mWeight);
-            double together = mBatchMillis / mWeight - mBatch / mWeight * (mMillis / mWeight);
-            return variance < LEAST_SPREAD ? 0 : Math.max(0, together / variance);
+            double covariance = mBatchMillis / mWeight - mBatch / mWeight * (mMillis / mWeight);
+            return variance < MIN_BATCH_VARIANCE ? 0 : Math.max(0, covariance / variance);
         }
 
         private double predict(int batch) {
@@ -50,10 +50,10 @@
     private final Map<BackendId, Fit> mFits = new HashMap<>();
 
     /**
-     * Takes in the pace of one stream.
+     * Records the mean time between tokens of one stream.
      *
      * @param backend the decode engine
-     * @param batch requests it decoded at that time, this one included
+     * @param batch requests that it decoded at that time, this one included
      * @param tokenMillis mean time between tokens, in milliseconds
      */
     public void observed(BackendId backend, int batch, double tokenMillis) {
@@ -63,9 +63,10 @@
     /**
      * Returns the largest batch whose time between tokens is expected to stay within a target.
      *
-     * <p>Safeguard: an engine filled to its last slot can be slower than the target for everyone on
-     * it, so that more served means none served well. At least 1, so that a target that can't be
-     * met at all leaves a way to learn that it can again.
+     * <p>Safeguard: an engine that is filled to its last slot can exceed the target for all of its
+     * requests, so that serving more of them serves none well. The result is at least 1, so that an
+     * engine that cannot meet the target at all still provides samples from which a recovery is
+     * learned.
      *
      * @param backend the decode engine
      * @param targetMillis target for the time between tokens, in milliseconds
@@ -73,17 +74,17 @@
      */
     public int maxBatchWithin(BackendId backend, long targetMillis, int slots) {
         Fit fit = mFits.get(backend);
-        if (fit == null || fit.mWeight < ENOUGH || fit.slope() == 0) {
+        if (fit == null || fit.mWeight < MIN_WEIGHT || fit.slope() == 0) {
             return slots;
         }
         int batch = slots;
-        while (batch > 1 && fit.predict(batch) > KEPT_SHARE * targetMillis) {
+        while (batch > 1 && fit.predict(batch) > TARGET_SHARE * targetMillis) {
             batch--;
         }
         return batch;
     }
 
-    /** Forgets an engine, such as one that has another model. */
+    /** Removes an engine, for example one that has another model. */
     public void forget(BackendId backend) {
         mFits.remove(backend);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/package-info.java
@@ -1,2 +1,2 @@
-/** Expectations learned from completed requests. */
+/** Estimates learned from completed requests. */
 package org.cyclamenpaddle.routing.expect;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
@@ -8,8 +8,8 @@
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.schedule.Interval;
-import org.cyclamenpaddle.routing.schedule.RoomProfile;
 import org.cyclamenpaddle.routing.schedule.SerialSchedule;
+import org.cyclamenpaddle.routing.schedule.UsageProfile;
 
 /**
  * Serial compute, then a transfer over a serial link: prefill engines.
@@ -34,7 +34,7 @@
     @Override
     public Interval preview(
             GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
-        RoomProfile memory = memory(held, nowMillis);
+        UsageProfile memory = memory(held, nowMillis);
         long work = computeMillis(ask.tokens());
         long from = nowMillis + Math.max(0, ask.neededInMillis()) + backlogMillis(held, nowMillis);
         while (true) {
@@ -81,7 +81,7 @@
 
     @Override
     public void requireRoom(Collection<Reservation> held, Interval span, long nowMillis) {
-        RoomProfile window = new RoomProfile();
+        UsageProfile window = new UsageProfile();
         for (Reservation reservation : held) {
             window.add(
                     Math.max(span.startMillis(), reservation.startMillis()),
@@ -115,8 +115,8 @@
         return overdue * mSettings.overdueMillis();
     }
 
-    private RoomProfile memory(Collection<Reservation> held, long nowMillis) {
-        RoomProfile profile = new RoomProfile();
+    private UsageProfile memory(Collection<Reservation> held, long nowMillis) {
+        UsageProfile profile = new UsageProfile();
         for (Reservation reservation : held) {
             long end = expectedEnd(reservation, nowMillis);
             profile.add(Math.min(reservation.startMillis(), end), end, reservation.pieces());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimit.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimit.java
@@ -11,28 +11,29 @@
 import org.cyclamenpaddle.routing.queue.TeamShares;
 
 /**
- * Bounds the requests in progress on this host, by service and by team within a service.
+ * Limits the requests in progress on this host, by service and by team within a service.
  *
- * <p>While a service has room to spare a team may use all of it. Once the service is nearly full, a
- * team that has more than its share among the teams with requests in progress gets no more, so that
- * the rest is left to the others. Idempotent by request id. Not thread-safe.
+ * <p>While a service has spare capacity a team may use all of it. Once the service is nearly full,
+ * a team that exceeds its share among the teams with requests in progress is refused, so that the
+ * rest is left to the others. Idempotent by request id. Not thread-safe.
  */
 public final class ConcurrencyLimit {
 
     /**
      * Settings of a limit.
      *
-     * @param mostOfService requests of one service in progress at once
-     * @param scarceFrom share of that from which teams are held to their shares, from 0 to 1
+     * @param maxPerService maximum number of requests of one service in progress
+     * @param fairShareThreshold fraction of that maximum from which teams are limited to their
+     *     shares, from 0 to 1
      */
     public record Settings(int maxPerService, double fairShareThreshold) {
 
         public Settings {
             if (maxPerService < 1 || fairShareThreshold < 0 || fairShareThreshold > 1) {
                 throw new IllegalArgumentException(
-                        "limit out of range: most "
+                        "concurrency limit out of range: maximum "
                                 + maxPerService
-                                + ", scarce from "
+                                + ", fair share threshold "
                                 + fairShareThreshold);
             }
         }
@@ -46,9 +47,9 @@
     private final Map<ServiceName, Map<TeamName, Integer>> mInUse = new HashMap<>();
 
     /**
-     * Creates a limit with nothing in progress.
+     * Creates a limit with no requests in progress.
      *
-     * @param settings bounds
+     * @param settings maximum and threshold
      * @param shares weights of the teams
      */
     public ConcurrencyLimit(Settings settings, TeamShares shares) {
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Counts a request as in progress unless it is over a limit.
+     * Counts a request as in progress unless it exceeds a limit.
      *
-     * @param request the request; one that is in progress already stays so
+     * @param request the request; one that is already in progress remains counted
      * @param service its service
      * @param team its team
      * @return the refusal; empty if it was counted
@@ -84,7 +85,7 @@
         return Optional.empty();
     }
 
-    /** Counts a request as in progress no more; idempotent. */
+    /** Stops counting a request as in progress; idempotent. */
     public void end(RequestId request) {
         Holder holder = mHolders.remove(request);
         if (holder == null) {
@@ -97,7 +98,7 @@
         }
     }
 
-    /** Returns the requests of a service in progress. */
+    /** Returns the number of requests of a service in progress. */
     public int inProgress(ServiceName service) {
         return total(mInUse.getOrDefault(service, Map.of()));
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/link/LinkBudget.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/link/LinkBudget.java
@@ -5,10 +5,11 @@
 import org.cyclamenpaddle.routing.schedule.SerialSchedule;
 
 /**
- * Timed reservations of a link with a limited rate; transfers follow one another at the full rate.
+ * Timed reservations of a link with limited bandwidth; transfers run one after another at the full
+ * rate.
  *
- * <p>Two transfers side by side would each take as long as both in turn, and the result of the
- * first could be evicted before it is across. Not thread-safe.
+ * <p>Two concurrent transfers would each take as long as both in sequence, and the result of the
+ * first could be evicted before its transfer ends. Not thread-safe.
  */
 public final class LinkBudget {
 
@@ -18,9 +19,9 @@
     private final SerialSchedule<AttemptId> mSchedule = new SerialSchedule<>();
 
     /**
-     * Creates a budget with nothing reserved.
+     * Creates a budget without reservations.
      *
-     * @param bytesPerSecond rate of the link; 0 for one that is never the limit
+     * @param bytesPerSecond bandwidth of the link; 0 for unlimited
      */
     public LinkBudget(long bytesPerSecond) {
         if (bytesPerSecond < 0) {
@@ -29,12 +30,15 @@
         mBytesPerSecond = bytesPerSecond;
     }
 
-    /** Returns how long {@code bytes} take at the full rate, in milliseconds, rounded up. */
+    /** Returns the transfer time of {@code bytes} at the full rate, in milliseconds, rounded up. */
     public long transferMillis(long bytes) {
         return transferMillis(bytes, mBytesPerSecond);
     }
 
-    /** Returns how long {@code bytes} take at a rate; 0 if the rate is 0, which means no limit. */
+    /**
+     * Returns the transfer time of {@code bytes} at a rate; 0 if the rate is 0, which means
+     * unlimited.
+     */
     public static long transferMillis(long bytes, long bytesPerSecond) {
         if (bytesPerSecond == 0) {
             return 0;
@@ -43,9 +47,9 @@
     }
 
     /**
-     * Returns the span a transfer would get.
+     * Returns the interval that a transfer would get.
      *
-     * @param fromMillis when the bytes are there at the earliest
+     * @param fromMillis earliest time at which the bytes are available
      * @param bytes size of the transfer
      */
     public Interval preview(long fromMillis, long bytes) {
@@ -55,22 +59,23 @@
     }
 
     /**
-     * Reserves the link for a transfer; an attempt that has a reservation keeps it.
+     * Reserves the link for a transfer; an existing reservation of the attempt is returned
+     * unchanged.
      *
-     * @param attempt what is transferred
-     * @param fromMillis when the bytes are there at the earliest
+     * @param attempt attempt whose result is transferred
+     * @param fromMillis earliest time at which the bytes are available
      * @param bytes size of the transfer
      */
     public Interval reserve(AttemptId attempt, long fromMillis, long bytes) {
         return mSchedule.reserve(attempt, fromMillis, transferMillis(bytes));
     }
 
-    /** Gives back the reservation of {@code attempt}, if it has one. */
+    /** Releases the reservation of {@code attempt}, if any. */
     public void release(AttemptId attempt) {
         mSchedule.release(attempt);
     }
 
-    /** Returns when the last reserved transfer ends, or {@code nowMillis} if that has passed. */
+    /** Returns the end of the last reserved transfer, or {@code nowMillis} if it has passed. */
     public long freeAt(long nowMillis) {
         return mSchedule.endOfLast(nowMillis);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/link/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/link/package-info.java
@@ -1,2 +1,2 @@
-/** Reservations of links with a limited rate. */
+/** Reservations of links with limited bandwidth. */
 package org.cyclamenpaddle.routing.link;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Pure decisions on requests: admission, placement, grants, limits, retries, quarantine. */
+/**
+ * Side-effect-free decisions on requests: admission, placement, grants, limits, retries,
+ * quarantine.
+ */
 package org.cyclamenpaddle.routing;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/queue/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/queue/package-info.java
@@ -1,2 +1,2 @@
-/** Shares of teams in what is scarce. */
+/** Relative shares of teams in scarce resources. */
 package org.cyclamenpaddle.routing.queue;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/OpenWork.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/HeldResources.java
@@ -8,53 +8,54 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Grants and attempts that a request holds, so that every way out gives all of them back.
+ * Tracks the grants and attempts that a request holds, so that every way of ending it releases all
+ * of them.
  *
- * <p>A way out that forgot one would leave engine memory held for a caller who has gone.
+ * <p>A path that missed one would leave engine memory held for a caller that has disconnected.
  */
-final class OpenWork {
+final class HeldResources {
 
     private final Map<AttemptId, BackendId> mGrants = new LinkedHashMap<>();
     private final Map<AttemptId, BackendId> mAttempts = new LinkedHashMap<>();
 
-    void openGrant(AttemptId attempt, BackendId backend) {
+    void addGrant(AttemptId attempt, BackendId backend) {
         mGrants.put(attempt, backend);
     }
 
-    void openAttempt(AttemptId attempt, BackendId backend) {
+    void addAttempt(AttemptId attempt, BackendId backend) {
         mAttempts.put(attempt, backend);
     }
 
-    /** The engine itself said that the attempt has ended. */
-    void attemptEnded(AttemptId attempt) {
+    /** Removes an attempt that the engine has reported as ended. */
+    void removeAttempt(AttemptId attempt) {
         mAttempts.remove(attempt);
     }
 
-    /** The owner itself said that it holds no room for the attempt. */
-    void grantRefused(AttemptId attempt) {
+    /** Removes a grant that the owner has reported as not held. */
+    void removeGrant(AttemptId attempt) {
         mGrants.remove(attempt);
     }
 
-    /** Gives back the room of one attempt, if any is held. */
-    List<RequestEffect> closeGrant(AttemptId attempt) {
+    /** Releases the grant of one attempt, if any is held. */
+    List<RequestEffect> releaseGrant(AttemptId attempt) {
         BackendId backend = mGrants.remove(attempt);
         return backend == null
                 ? List.of()
                 : List.of(new RequestEffect.ReleaseGrant(attempt, backend));
     }
 
-    /** Cancels one attempt, if open, and gives back its room. */
-    List<RequestEffect> close(AttemptId attempt) {
+    /** Cancels one attempt, if it is open, and releases its grant. */
+    List<RequestEffect> release(AttemptId attempt) {
         List<RequestEffect> effects = new ArrayList<>();
         BackendId backend = mAttempts.remove(attempt);
         if (backend != null) {
             effects.add(new RequestEffect.Cancel(attempt, backend));
         }
-        effects.addAll(closeGrant(attempt));
+        effects.addAll(releaseGrant(attempt));
         return effects;
     }
 
-    List<RequestEffect> closeAll() {
+    List<RequestEffect> releaseAll() {
         List<RequestEffect> effects = new ArrayList<>();
         mAttempts.forEach((id, backend) -> effects.add(new RequestEffect.Cancel(id, backend)));
         mGrants.forEach((id, backend) -> effects.add(new RequestEffect.ReleaseGrant(id, backend)));
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -14,9 +14,11 @@
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
 /**
- * The search for a pair of servers: what was chosen, who refused, and when room was said to come.
+ * State of the search for a pair of servers: the choices made, the servers that refused, and the
+ * time at which capacity was announced.
  *
- * <p>It chooses and remembers; asking and what follows is the machine's.
+ * <p>It chooses and records; sending grant requests and acting on the outcome is up to {@link
+ * RequestMachine}.
  */
 final class PlacementRound {
 
@@ -26,11 +28,11 @@
     private final Set<BackendId> mFailed = new HashSet<>();
     private final Set<BackendId> mRefused = new HashSet<>();
 
-    private Optional<Placed> mPrefill = Optional.empty();
-    private Optional<Placed> mDecode = Optional.empty();
-    private long mPlaceBy;
+    private Optional<PlacedAttempt> mPrefill = Optional.empty();
+    private Optional<PlacedAttempt> mDecode = Optional.empty();
+    private long mDeadlineMillis;
     private int mDecodeChoices;
-    private long mSoonestMillis = Long.MAX_VALUE;
+    private long mEarliestStartInMillis = Long.MAX_VALUE;
 
     PlacementRound(RequestShape shape, RequestEnvironment environment, int maxDecodeChoices) {
         mShape = shape;
@@ -38,40 +40,42 @@
         mMaxDecodeChoices = maxDecodeChoices;
     }
 
-    /** Starts a search that may last until {@code placeBy}; refusals so far are forgotten. */
-    void begin(long placeBy) {
-        mPlaceBy = placeBy;
-        forgetRefusals();
+    /** Starts a search that may last until {@code deadlineMillis}; earlier refusals are cleared. */
+    void begin(long deadlineMillis) {
+        mDeadlineMillis = deadlineMillis;
+        clearRefusals();
     }
 
-    void forgetRefusals() {
+    void clearRefusals() {
         mRefused.clear();
-        mSoonestMillis = Long.MAX_VALUE;
+        mEarliestStartInMillis = Long.MAX_VALUE;
     }
 
-    /** Leaves a server out of every later choice for this request. */
-    void failed(BackendId backend) {
+    /** Excludes a server from all later choices for this request. */
+    void exclude(BackendId backend) {
         mFailed.add(backend);
     }
 
-    /** Returns whether servers were asked, and no owner granted or named a time. */
-    boolean onlyOwnersRefused() {
-        return !mRefused.isEmpty() && mSoonestMillis == Long.MAX_VALUE;
+    /**
+     * Returns whether all requested servers refused without granting or announcing a start time.
+     */
+    boolean refusedWithoutStartTime() {
+        return !mRefused.isEmpty() && mEarliestStartInMillis == Long.MAX_VALUE;
     }
 
-    boolean late(long now) {
-        return now >= mPlaceBy;
+    boolean pastDeadline(long now) {
+        return now >= mDeadlineMillis;
     }
 
-    long placeBy() {
-        return mPlaceBy;
+    long deadlineMillis() {
+        return mDeadlineMillis;
     }
 
-    Placed prefill() {
+    PlacedAttempt prefill() {
         return mPrefill.orElseThrow();
     }
 
-    Placed decode() {
+    PlacedAttempt decode() {
         return mDecode.orElseThrow();
     }
 
@@ -83,83 +87,93 @@
         return mDecode.filter(placed -> placed.attempt().equals(attempt)).isPresent();
     }
 
-    /** Chooses a prefill server; the ask is empty if the policy goes without grants. */
+    /** Chooses a prefill server; the grant request is empty if the policy does not use grants. */
     Either<Refusal, Optional<GrantAsk>> choosePrefill(int generated, long now) {
         mDecode = Optional.empty();
         mDecodeChoices = 0;
         return mEnvironment
                 .rankPrefill(mShape, generated, excluded(), now)
-                .map(ranked -> prefillAsk(ranked.get(0), generated, now))
-                .mapLeft(this::meaning);
+                .map(ranked -> prefillGrantRequest(ranked.get(0), generated, now))
+                .mapLeft(this::toPlacementRefusal);
     }
 
     /** Chooses a decode server for the prefill server chosen before. */
     Either<Refusal, Optional<GrantAsk>> chooseDecode(int generated, long now) {
-        long endIn = Math.max(0, prefill().readyAt() - now);
+        long endInMillis = Math.max(0, prefill().readyAtMillis() - now);
         mDecodeChoices++;
         return mEnvironment
-                .rankDecode(mShape, prefill().backend(), endIn, excluded(), now)
-                .map(ranked -> decodeAsk(ranked.get(0), generated, endIn, now))
-                .mapLeft(this::meaning);
+                .rankDecode(mShape, prefill().backend(), endInMillis, excluded(), now)
+                .map(ranked -> decodeGrantRequest(ranked.get(0), generated, endInMillis, now))
+                .mapLeft(this::toPlacementRefusal);
     }
 
-    /** Chooses a decode server other than the one that was full; keeps that one if it is alone. */
-    void decodeAfterFull(long now) {
+    /** Chooses a decode server other than the full one, or the same one if there is no other. */
+    void chooseDecodeAfterFull(long now) {
         mRefused.add(decode().backend());
-        if (decodeElsewhere(excluded(), now).isLeft()) {
+        if (chooseOtherDecode(excluded(), now).isLeft()) {
             mRefused.clear();
-            decodeElsewhere(mFailed, now);
+            chooseOtherDecode(mFailed, now);
         }
     }
 
-    /** Chooses another decode server for a result that is there; there is no time for grants. */
-    Either<Refusal, Placed> decodeElsewhere(long now) {
-        return decodeElsewhere(mFailed, now);
+    /**
+     * Chooses another decode server for an existing prefill result; there is no time for grants.
+     */
+    Either<Refusal, PlacedAttempt> chooseOtherDecode(long now) {
+        return chooseOtherDecode(mFailed, now);
     }
 
-    private Either<Refusal, Placed> decodeElsewhere(Set<BackendId> without, long now) {
+    private Either<Refusal, PlacedAttempt> chooseOtherDecode(Set<BackendId> excluded, long now) {
         Either<Refusal, List<Choice>> ranked =
-                mEnvironment.rankDecode(mShape, prefill().backend(), 0, without, now);
+                mEnvironment.rankDecode(mShape, prefill().backend(), 0, excluded, now);
         ranked.peek(
                 choices ->
                         mDecode =
                                 Optional.of(
-                                        new Placed(
+                                        new PlacedAttempt(
                                                 mEnvironment.newAttempt(), choices.get(0), now)));
-        return ranked.map(choices -> decode()).mapLeft(this::meaning);
+        return ranked.map(choices -> decode()).mapLeft(this::toPlacementRefusal);
     }
 
     void prefillGranted(GrantAnswer answer, long now) {
-        mPrefill = Optional.of(prefill().readyAt(now + answer.endInMillis()));
+        mPrefill = Optional.of(prefill().readyAtMillis(now + answer.endInMillis()));
     }
 
-    /** Takes a decode grant and returns by how much the prefill has to wait for the slot. */
+    /**
+     * Applies a decode grant and returns by how many milliseconds the prefill has to wait for the
+     * slot.
+     */
     long decodeGranted(GrantAnswer answer, long now) {
-        long wait = now + answer.startInMillis() - decode().readyAt();
-        mDecode = Optional.of(decode().readyAt(now + answer.startInMillis()));
-        return wait;
+        long waitMillis = now + answer.startInMillis() - decode().readyAtMillis();
+        mDecode = Optional.of(decode().readyAtMillis(now + answer.startInMillis()));
+        return waitMillis;
     }
 
-    /** Notes that a server gave no grant; returns the refusal if no other one is to be asked. */
-    Optional<Refusal> refused(BackendId backend, Optional<GrantAnswer> answer, long now) {
+    /**
+     * Records that a server gave no grant; returns the refusal if no other server is to be tried.
+     */
+    Optional<Refusal> recordRefusal(BackendId backend, Optional<GrantAnswer> answer, long now) {
         mRefused.add(backend);
-        answer.filter(given -> given.decision() == GrantDecision.TOO_LATE)
+        answer.filter(refused -> refused.decision() == GrantDecision.TOO_LATE)
                 .ifPresent(
-                        given -> mSoonestMillis = Math.min(mSoonestMillis, given.startInMillis()));
-        return late(now) || mDecodeChoices >= mMaxDecodeChoices
-                ? Optional.of(tooLate())
+                        refused ->
+                                mEarliestStartInMillis =
+                                        Math.min(mEarliestStartInMillis, refused.startInMillis()));
+        return pastDeadline(now) || mDecodeChoices >= mMaxDecodeChoices
+                ? Optional.of(deadlineRefusal())
                 : Optional.empty();
     }
 
-    private Optional<GrantAsk> prefillAsk(Choice choice, int generated, long now) {
+    private Optional<GrantAsk> prefillGrantRequest(Choice choice, int generated, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
-        mPrefill = Optional.of(new Placed(attempt, choice, now + choice.predictedMillis()));
-        return asked(
+        mPrefill = Optional.of(new PlacedAttempt(attempt, choice, now + choice.predictedMillis()));
+        return ifGrantsUsed(
                 mEnvironment.prefillGrantRequest(
-                        attempt, mShape, generated, choice, mPlaceBy - now));
+                        attempt, mShape, generated, choice, mDeadlineMillis - now));
     }
 
-    private Optional<GrantAsk> decodeAsk(Choice choice, int generated, long endIn, long now) {
+    private Optional<GrantAsk> decodeGrantRequest(
+            Choice choice, int generated, long endInMillis, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
         GrantAsk ask =
                 mEnvironment.decodeGrantRequest(
@@ -168,35 +182,37 @@
                         generated,
                         choice,
                         prefill().backend(),
-                        endIn,
-                        mPlaceBy - now);
-        mDecode = Optional.of(new Placed(attempt, choice, now + ask.neededInMillis()));
-        return asked(ask);
+                        endInMillis,
+                        mDeadlineMillis - now);
+        mDecode = Optional.of(new PlacedAttempt(attempt, choice, now + ask.neededInMillis()));
+        return ifGrantsUsed(ask);
     }
 
-    private Optional<GrantAsk> asked(GrantAsk ask) {
+    private Optional<GrantAsk> ifGrantsUsed(GrantAsk ask) {
         return mEnvironment.usesGrants() ? Optional.of(ask) : Optional.empty();
     }
 
     private Set<BackendId> excluded() {
-        Set<BackendId> both = new HashSet<>(mFailed);
-        both.addAll(mRefused);
-        return both;
+        Set<BackendId> all = new HashSet<>(mFailed);
+        all.addAll(mRefused);
+        return all;
     }
 
-    /** A ranking without choices after owners refused means too late, not that none exist. */
-    private Refusal meaning(Refusal ranking) {
-        boolean none = ranking.reason() == RefusalReason.NO_BACKEND;
-        return none && mSoonestMillis != Long.MAX_VALUE ? tooLate() : ranking;
+    /**
+     * Maps a ranking without choices to a missed deadline if owners have announced later capacity.
+     */
+    private Refusal toPlacementRefusal(Refusal ranking) {
+        boolean noBackend = ranking.reason() == RefusalReason.NO_BACKEND;
+        return noBackend && mEarliestStartInMillis != Long.MAX_VALUE ? deadlineRefusal() : ranking;
     }
 
-    private Refusal tooLate() {
-        if (mSoonestMillis == Long.MAX_VALUE) {
-            return Refusal.of(RefusalReason.NO_BACKEND, "No owner granted room.");
+    private Refusal deadlineRefusal() {
+        if (mEarliestStartInMillis == Long.MAX_VALUE) {
+            return Refusal.of(RefusalReason.NO_BACKEND, "No owner granted capacity.");
         }
         return new Refusal(
                 RefusalReason.DEADLINE_UNREACHABLE,
-                "Room is expected in " + mSoonestMillis + " ms.",
-                Math.max(1, mSoonestMillis));
+                "Capacity is expected in " + mEarliestStartInMillis + " ms.",
+                Math.max(1, mEarliestStartInMillis));
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
@@ -7,16 +7,16 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
-/** Something that the state machine of a request wants done. */
+/** An action requested by the state machine of a request. */
 public sealed interface RequestEffect {
 
     /** Calls the handler's method for this type of effect. */
     void perform(RequestEffectHandler handler);
 
     /**
-     * Asks an owner for room.
+     * Requests a grant from a ledger's owner.
      *
-     * @param ask the ask
+     * @param request the grant request
      */
     record RequestGrant(GrantAsk request) implements RequestEffect {
         @Override
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Gives room back.
+     * Releases a grant.
      *
-     * @param attempt whose room
-     * @param backend where
+     * @param attempt holder of the grant
+     * @param backend backend server of the grant
      */
     record ReleaseGrant(AttemptId attempt, BackendId backend) implements RequestEffect {
         @Override
@@ -44,7 +44,7 @@
      * @param attempt the attempt
      * @param backend the prefill server
      * @param prior tokens already sent to the caller
-     * @param timeoutMillis longest wait
+     * @param timeoutMillis timeout of the prefill
      */
     record StartPrefill(
             AttemptId attempt, BackendId backend, List<String> prior, long timeoutMillis)
@@ -62,9 +62,9 @@
      * @param backend the decode server
      * @param source the prefill attempt
      * @param sourceBackend the prefill server
-     * @param firstIndex index of the first token to come
-     * @param maxTokens most tokens of the whole answer, counted from index 0
-     * @param transferMillis longest transfer
+     * @param firstIndex index of the first token to generate
+     * @param maxTokens maximum number of tokens of the complete response, counted from index 0
+     * @param transferMillis timeout of the transfer
      */
     record StartDecode(
             AttemptId attempt,
@@ -82,11 +82,11 @@
     }
 
     /**
-     * Takes a stream up again by a new connection.
+     * Resumes a stream on a new connection.
      *
      * @param attempt the decode attempt
      * @param backend the decode server
-     * @param fromIndex next token wanted
+     * @param fromIndex index of the next token needed
      */
     record Resume(AttemptId attempt, BackendId backend, int fromIndex) implements RequestEffect {
         @Override
@@ -99,7 +99,7 @@
      * Cancels an attempt.
      *
      * @param attempt the attempt
-     * @param backend where
+     * @param backend backend server of the attempt
      */
     record Cancel(AttemptId attempt, BackendId backend) implements RequestEffect {
         @Override
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Sends one token.
+     * Sends one token to the caller.
      *
      * @param index its index
      * @param text its text
@@ -122,10 +122,10 @@
     }
 
     /**
-     * Ends the answer as whole.
+     * Completes the response.
      *
-     * @param tokens tokens sent
-     * @param finishReason the engine's reason
+     * @param tokens number of tokens sent
+     * @param finishReason finish reason given by the engine
      */
     record Finish(int tokens, String finishReason) implements RequestEffect {
         @Override
@@ -135,10 +135,10 @@
     }
 
     /**
-     * Ends the answer with a refusal.
+     * Ends the response with a refusal.
      *
-     * @param refusal why
-     * @param tokensSent tokens that the caller already has
+     * @param refusal the refusal
+     * @param tokensSent number of tokens that the caller has already received
      */
     record Refuse(Refusal refusal, int tokensSent) implements RequestEffect {
         @Override
@@ -148,11 +148,11 @@
     }
 
     /**
-     * Sets a deadline; only the timer of the current generation counts when it fires.
+     * Sets a timer; on expiry it is ignored unless its generation is still current.
      *
-     * @param kind which deadline
-     * @param generation handed back when it fires
-     * @param delayMillis from now
+     * @param kind kind of the timer
+     * @param generation passed back on expiry
+     * @param delayMillis delay from now
      */
     record SetTimer(TimerKind kind, long generation, long delayMillis) implements RequestEffect {
         @Override
@@ -164,7 +164,7 @@
     /**
      * Counts a retry.
      *
-     * @param reason why it was made
+     * @param reason its reason
      */
     record CountRetry(RetryReason reason) implements RequestEffect {
         @Override
@@ -174,7 +174,7 @@
     }
 
     /**
-     * Counts prefill that was computed and never used.
+     * Counts wasted prefill: tokens that were computed and never used.
      *
      * @param tokens uncached tokens computed
      */
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffectHandler.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffectHandler.java
@@ -3,10 +3,10 @@
 /** Performs the effects of a request; one method for each type of effect. */
 public interface RequestEffectHandler {
 
-    /** Asks the owner of the ledger. */
+    /** Requests a grant from the ledger's owner. */
     void requestGrant(RequestEffect.RequestGrant effect);
 
-    /** Tells the owner that the room is not needed any more. */
+    /** Releases a grant at the ledger's owner. */
     void releaseGrant(RequestEffect.ReleaseGrant effect);
 
     /** Starts a prefill. */
@@ -15,27 +15,27 @@
     /** Starts transfer and decode. */
     void startDecode(RequestEffect.StartDecode effect);
 
-    /** Takes a stream up again by a new connection. */
+    /** Resumes a stream on a new connection. */
     void resume(RequestEffect.Resume effect);
 
-    /** Cancels an attempt, again and again until the engine confirms. */
+    /** Cancels an attempt, with retries until the engine confirms. */
     void cancel(RequestEffect.Cancel effect);
 
     /** Sends one token to the caller. */
     void emit(RequestEffect.Emit effect);
 
-    /** Ends the answer as whole. */
+    /** Completes the response. */
     void finish(RequestEffect.Finish effect);
 
-    /** Ends the answer with a refusal. */
+    /** Ends the response with a refusal. */
     void refuse(RequestEffect.Refuse effect);
 
-    /** Sets a deadline. */
+    /** Sets a timer. */
     void setTimer(RequestEffect.SetTimer effect);
 
     /** Counts a retry. */
     void countRetry(RequestEffect.CountRetry effect);
 
-    /** Counts prefill that was computed and never used. */
+    /** Counts wasted prefill. */
     void countWastedPrefill(RequestEffect.CountWastedPrefill effect);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -10,24 +10,24 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
-/** What the state machine of a request asks of the blackboard while it decides. */
+/** Access of a request's state machine to the shared state of its host. */
 public interface RequestEnvironment {
 
-    /** Returns an attempt id never used before. */
+    /** Returns a new, unique attempt id. */
     AttemptId newAttempt();
 
-    /** Returns whether owners are asked for grants; baselines go without. */
+    /** Returns whether grants are requested from owners; baseline policies do not use them. */
     boolean usesGrants();
 
-    /** Returns why the request is refused on arrival, or empty if it may be placed. */
+    /** Returns the refusal of a request on arrival, or empty if it may be placed. */
     Optional<Refusal> admit(RequestShape shape, long now);
 
     /**
      * Ranks prefill servers, best first.
      *
-     * @param generated tokens already sent to the caller, which are prefilled too
+     * @param generated number of tokens already sent to the caller, which are prefilled as well
      * @param excluded servers that failed this request
-     * @return at least one choice, or why there is none
+     * @return at least one choice, or the refusal
      */
     Either<Refusal, List<Choice>> rankPrefill(
             RequestShape shape, int generated, Set<BackendId> excluded, long now);
@@ -35,10 +35,10 @@
     /**
      * Ranks decode servers, best first.
      *
-     * @param prefill where the prefill runs
-     * @param neededInMillis when the KV cache is predicted to arrive
+     * @param prefill prefill server of the request
+     * @param neededInMillis predicted time until the KV cache arrives
      * @param excluded servers that failed this request
-     * @return at least one choice, or why there is none
+     * @return at least one choice, or the refusal
      */
     Either<Refusal, List<Choice>> rankDecode(
             RequestShape shape,
@@ -48,21 +48,21 @@
             long now);
 
     /**
-     * Words the ask for a prefill server.
+     * Creates the grant request for a prefill server.
      *
-     * @param generated tokens already sent to the caller
-     * @param millisLeft until the first token, or the next one, is due
+     * @param generated number of tokens already sent to the caller
+     * @param millisLeft time until the first token, or the next one, is due
      */
     GrantAsk prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft);
 
     /**
-     * Words the ask for a decode server.
+     * Creates the grant request for a decode server.
      *
-     * @param generated tokens already sent to the caller
-     * @param prefill where the prefill runs
-     * @param prefillEndInMillis when prefill and transfer are expected to have ended
-     * @param millisLeft until the first token, or the next one, is due
+     * @param generated number of tokens already sent to the caller
+     * @param prefill prefill server of the request
+     * @param prefillEndInMillis expected time until prefill and transfer end
+     * @param millisLeft time until the first token, or the next one, is due
      */
     GrantAsk decodeGrantRequest(
             AttemptId attempt,
@@ -73,17 +73,19 @@
             long prefillEndInMillis,
             long millisLeft);
 
-    /** Takes one retry from the service's budget; returns whether there was one. */
+    /** Takes one retry from the service's budget and returns whether one was available. */
     boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now);
 
-    /** Notes that no new connection to a backend server could be had; it is ranked last. */
+    /**
+     * Records that no new connection to a backend server could be opened; it is then ranked last.
+     */
     void backendUnreachable(BackendId backend, long now);
 
     /**
-     * Notes that a backend server died, or lost its state, while it ran this request.
+     * Records that a backend server crashed, or lost its state, while it ran this request.
      *
-     * <p>The request's strike is given before this returns, so that the next ranking already sees
-     * it.
+     * <p>The request's strike is recorded before this method returns, so that the next ranking
+     * takes it into account.
      */
     void backendDied(RequestShape shape, BackendId backend, long now);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -14,49 +14,49 @@
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
 /**
- * One model request from arrival to its one final effect.
+ * State machine of one model request from its arrival to its single final effect.
  *
- * <p>Room is reserved on both engines before the prefill starts, since a result that finds no
- * decode slot dies within a second. Every event carries the attempt it is about; events of attempts
- * given up on are late and change nothing. Not safe for use by several threads at once.
+ * <p>Capacity is reserved on both engines before the prefill starts, since a prefill result without
+ * a decode slot is evicted within a second. Every event names its attempt; events of abandoned
+ * attempts are late and ignored. Not thread-safe.
  */
 public final class RequestMachine {
 
     private static final int MAX_RESUMES_WITHOUT_TOKEN = 3;
-    private static final long PLACE_PAUSE_MILLIS = 100;
+    private static final long PLACEMENT_RETRY_MILLIS = 100;
 
-    /** Pauses of a fresh request while ledgers move. */
-    private static final int MOST_MOVES = 6;
+    /** Maximum number of pauses of a new request while ledgers change owner. */
+    private static final int MAX_OWNERSHIP_WAITS = 6;
 
-    /** How long a result may wait for its slot; engines keep it for about 800 ms. */
-    private static final long RESULT_WAITS_MILLIS = 500;
+    /** Maximum wait of a prefill result for its slot; engines retain it for about 800 ms. */
+    private static final long MAX_RESULT_WAIT_MILLIS = 500;
 
-    /** Pause before a decode server whose promised slot is late is asked again. */
-    private static final long SLOT_PAUSE_MILLIS = 15;
+    /** Pause before the next attempt on a decode server whose promised slot is late. */
+    private static final long SLOT_RETRY_MILLIS = 15;
 
     private final RequestShape mShape;
     private final RequestSettings mSettings;
     private final RequestEnvironment mEnvironment;
-    private final AnswerRelay mRelay = new AnswerRelay();
-    private final OpenWork mOpen = new OpenWork();
+    private final TokenSequencer mSequencer = new TokenSequencer();
+    private final HeldResources mHeld = new HeldResources();
     private final PlacementRound mRound;
 
     private List<RequestEffect> mEffects = new ArrayList<>();
     private RequestPhase mPhase = RequestPhase.NEW;
-    private long mResultUntil;
-    private int mUnusedTokens;
+    private long mResultExpiresAtMillis;
+    private int mUnusedPrefillTokens;
     private int mPlacements;
     private int mResumes;
-    private int mMoves;
+    private int mOwnershipWaits;
     private long mTimerGeneration;
-    private long mLastProgress;
+    private long mLastProgressMillis;
 
     /**
-     * Creates the machine of a request.
+     * Creates the state machine of a request.
      *
      * @param shape the request
-     * @param settings bounds on its steps
-     * @param environment the blackboard as the machine sees it
+     * @param settings limits of its steps
+     * @param environment access to the host's shared state
      */
     public RequestMachine(
             RequestShape shape, RequestSettings settings, RequestEnvironment environment) {
@@ -66,99 +66,99 @@
         mRound = new PlacementRound(shape, environment, settings.maxDecodeChoices());
     }
 
-    /** Returns where the request stands. */
+    /** Returns the current phase of the request. */
     public RequestPhase phase() {
         return mPhase;
     }
 
     /** Returns the number of tokens sent to the caller. */
     public int tokensSent() {
-        return mRelay.nextIndex();
+        return mSequencer.nextIndex();
     }
 
     /** Admits and places the request; called once. */
     public List<RequestEffect> start(long now) {
         Invariants.require(mPhase == RequestPhase.NEW, () -> mShape.id() + " started twice");
         mRound.begin(now + mShape.firstTokenMillis());
-        mEnvironment.admit(mShape, now).ifPresentOrElse(this::endRefused, () -> placePrefill(now));
-        return drain();
+        mEnvironment.admit(mShape, now).ifPresentOrElse(this::refuse, () -> placePrefill(now));
+        return takeEffects();
     }
 
-    /** Takes an owner's answer. */
+    /** Handles an owner's response to a grant request. */
     public List<RequestEffect> onGrantAnswer(GrantAnswer answer, long now) {
         boolean granted = answer.decision() == GrantDecision.GRANTED;
-        if (!isAsked(answer.attempt())) {
+        if (!awaitsGrant(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
                 mEffects.add(new RequestEffect.ReleaseGrant(answer.attempt(), answer.backend()));
             }
         } else if (!granted) {
-            mOpen.grantRefused(answer.attempt());
+            mHeld.removeGrant(answer.attempt());
             tryNextChoice(answer.backend(), Optional.of(answer), now);
         } else if (mPhase == RequestPhase.PLACING_PREFILL) {
             mRound.prefillGranted(answer, now);
             placeDecode(now);
         } else {
-            awaitPrefillStart(mRound.decodeGranted(answer, now), now);
+            schedulePrefill(mRound.decodeGranted(answer, now), now);
         }
-        return drain();
+        return takeEffects();
     }
 
     /**
-     * Takes the end of a prefill.
+     * Handles the completion of a prefill.
      *
-     * @param computedTokens tokens computed, those from the prefix cache left out
-     * @param resultMillis how long the result lives, from now
+     * @param computedTokens tokens computed, without those from the prefix cache
+     * @param resultMillis time until the result is evicted, from now
      */
     public List<RequestEffect> onPrefillDone(
             AttemptId attempt, int computedTokens, long resultMillis, long now) {
         if (mPhase == RequestPhase.PREFILLING && mRound.isPrefill(attempt)) {
-            mUnusedTokens = computedTokens;
-            mResultUntil = now + resultMillis;
+            mUnusedPrefillTokens = computedTokens;
+            mResultExpiresAtMillis = now + resultMillis;
             startDecode(now);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes the failure of a prefill. */
+    /** Handles the failure of a prefill. */
     public List<RequestEffect> onPrefillFailed(AttemptId attempt, StepFailure failure, long now) {
         if (mPhase == RequestPhase.PREFILLING && mRound.isPrefill(attempt)) {
             prefillFailed(failure, now);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes the end of a transfer. */
+    /** Handles the completion of a transfer. */
     public List<RequestEffect> onImported(AttemptId attempt, long now) {
         if (isReceiving(attempt)) {
             imported(now);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes a token. */
+    /** Handles a token. */
     public List<RequestEffect> onToken(AttemptId attempt, int index, String text, long now) {
         if (isReceiving(attempt)) {
             imported(now);
             relay(index, text, now);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes the engine's final mark. */
+    /** Handles the engine's end-of-stream event. */
     public List<RequestEffect> onEnd(AttemptId attempt, int tokens, String finishReason, long now) {
         if (isReceiving(attempt)) {
             imported(now);
-            if (mRelay.nextIndex() == tokens) {
-                mOpen.attemptEnded(attempt);
+            if (mSequencer.nextIndex() == tokens) {
+                mHeld.removeAttempt(attempt);
                 end(new RequestEffect.Finish(tokens, finishReason));
             } else {
                 resume(now);
             }
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes the failure of a transfer or stream, of its start or of a resumption. */
+    /** Handles the failure of a transfer or stream, at its start or on resumption. */
     public List<RequestEffect> onStreamFailed(AttemptId attempt, StepFailure failure, long now) {
         if (mRound.isDecode(attempt)) {
             if (mPhase == RequestPhase.TRANSFERRING) {
@@ -167,42 +167,42 @@
                 streamFailed(failure, now);
             }
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes a deadline; one of an older generation changes nothing. */
+    /** Handles the expiry of a timer; one of an older generation is ignored. */
     public List<RequestEffect> onTimer(TimerKind kind, long generation, long now) {
         if (generation == mTimerGeneration && mPhase != RequestPhase.DONE) {
             timerFired(kind, now);
         }
-        return drain();
+        return takeEffects();
     }
 
-    /** Takes note that the caller has gone, at any step. */
+    /** Handles the disconnection of the caller, in any phase. */
     public List<RequestEffect> onCallerDisconnected(long now) {
         if (mPhase != RequestPhase.DONE) {
             end(
                     new RequestEffect.Refuse(
-                            Refusal.of(RefusalReason.CALLER_GONE, ""), mRelay.nextIndex()));
+                            Refusal.of(RefusalReason.CALLER_GONE, ""), mSequencer.nextIndex()));
         }
-        return drain();
+        return takeEffects();
     }
 
     private void timerFired(TimerKind kind, long now) {
         switch (kind) {
             case PLACE -> placePrefill(now);
             case GRANT -> {
-                Placed asked =
+                PlacedAttempt pending =
                         mPhase == RequestPhase.PLACING_PREFILL ? mRound.prefill() : mRound.decode();
-                mEffects.addAll(mOpen.closeGrant(asked.attempt()));
-                tryNextChoice(asked.backend(), Optional.empty(), now);
+                mEffects.addAll(mHeld.releaseGrant(pending.attempt()));
+                tryNextChoice(pending.backend(), Optional.empty(), now);
             }
             case PREFILL_START -> startPrefill(now);
             case SLOT -> startDecode(now);
             case PREFILL -> prefillFailed(StepFailure.TIMED_OUT, now);
             case TRANSFER -> transferFailed(StepFailure.STALLED, now);
-            case SILENCE -> silenceFired(now);
-            default -> Invariants.require(false, () -> "timer " + kind);
+            case SILENCE -> silenceTimedOut(now);
+            default -> Invariants.require(false, () -> "unknown timer kind " + kind);
         }
     }
 
@@ -210,29 +210,29 @@
 
     private void placePrefill(long now) {
         mPhase = RequestPhase.PLACING_PREFILL;
-        mRound.choosePrefill(mRelay.nextIndex(), now)
-                .peekLeft(refusal -> noPlace(refusal, now))
-                .peek(ask -> ask.ifPresentOrElse(this::askGrant, () -> placeDecode(now)));
+        mRound.choosePrefill(mSequencer.nextIndex(), now)
+                .peekLeft(refusal -> placementFailed(refusal, now))
+                .peek(ask -> ask.ifPresentOrElse(this::requestGrant, () -> placeDecode(now)));
     }
 
     private void placeDecode(long now) {
         mPhase = RequestPhase.PLACING_DECODE;
-        mRound.chooseDecode(mRelay.nextIndex(), now)
-                .peekLeft(refusal -> noPlace(refusal, now))
-                .peek(ask -> ask.ifPresentOrElse(this::askGrant, () -> startPrefill(now)));
+        mRound.chooseDecode(mSequencer.nextIndex(), now)
+                .peekLeft(refusal -> placementFailed(refusal, now))
+                .peek(ask -> ask.ifPresentOrElse(this::requestGrant, () -> startPrefill(now)));
     }
 
-    private void askGrant(GrantAsk ask) {
-        // Held from the ask on: the owner may have granted although its answer is lost.
-        mOpen.openGrant(ask.attempt(), ask.backend());
+    private void requestGrant(GrantAsk ask) {
+        // Held from the request on: the owner may have granted it although its response is lost.
+        mHeld.addGrant(ask.attempt(), ask.backend());
         mEffects.add(new RequestEffect.RequestGrant(ask));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
     private void tryNextChoice(BackendId refused, Optional<GrantAnswer> answer, long now) {
-        Optional<Refusal> last = mRound.refused(refused, answer, now);
-        if (last.isPresent()) {
-            noPlace(last.get(), now);
+        Optional<Refusal> finalRefusal = mRound.recordRefusal(refused, answer, now);
+        if (finalRefusal.isPresent()) {
+            placementFailed(finalRefusal.get(), now);
             return;
         }
         mEffects.add(new RequestEffect.CountRetry(RetryReason.GRANT_REFUSED));
@@ -244,13 +244,13 @@
     }
 
     /**
-     * Starts the prefill at once, unless its result would die before the slot comes.
+     * Starts the prefill at once, unless its result would be evicted before the slot is free.
      *
-     * <p>Slots often come earlier than promised; a request that waited for the promised instant
-     * would let them lie idle.
+     * <p>Slots often become free earlier than promised; a request that waited for the promised time
+     * would leave them idle.
      */
-    private void awaitPrefillStart(long slotAfterResult, long now) {
-        long wait = slotAfterResult - RESULT_WAITS_MILLIS;
+    private void schedulePrefill(long slotAfterResultMillis, long now) {
+        long wait = slotAfterResultMillis - MAX_RESULT_WAIT_MILLIS;
         if (wait <= 0) {
             startPrefill(now);
             return;
@@ -260,25 +260,26 @@
     }
 
     /**
-     * Refuses a fresh request at once, but for two cases in which it is placed again a little
+     * Refuses a new request at once, except in two cases in which placement is retried a little
      * later.
      *
-     * <p>One that lost its backend server may wait as long as recovery may take: its caller may
-     * have half an answer already. And where owners neither granted nor named a time, ledgers are
-     * moving to another host, which takes some 100 ms; refusing meanwhile would fail requests at
-     * each planned restart of a host.
+     * <p>A request that lost its backend server may wait as long as recovery may take: its caller
+     * may already have half of the response. And where owners neither granted nor announced a time,
+     * ledgers are moving to another host, which takes some 100 ms; refusing meanwhile would fail
+     * requests at each planned restart of a host.
      */
-    private void noPlace(Refusal refusal, long now) {
+    private void placementFailed(Refusal refusal, long now) {
         boolean recovering = mPlacements > 0 && refusal.reason().waitingHelps();
-        boolean moving = mRound.onlyOwnersRefused() && ++mMoves <= MOST_MOVES;
-        if (!(recovering || moving) || mRound.late(now + PLACE_PAUSE_MILLIS)) {
-            endRefused(refusal);
+        boolean changingOwner =
+                mRound.refusedWithoutStartTime() && ++mOwnershipWaits <= MAX_OWNERSHIP_WAITS;
+        if (!(recovering || changingOwner) || mRound.pastDeadline(now + PLACEMENT_RETRY_MILLIS)) {
+            refuse(refusal);
             return;
         }
-        mPhase = RequestPhase.REPLACING;
-        mEffects.addAll(mOpen.closeAll());
-        mRound.forgetRefusals();
-        setTimer(TimerKind.PLACE, PLACE_PAUSE_MILLIS);
+        mPhase = RequestPhase.AWAITING_BACKEND;
+        mEffects.addAll(mHeld.releaseAll());
+        mRound.clearRefusals();
+        setTimer(TimerKind.PLACE, PLACEMENT_RETRY_MILLIS);
     }
 
     // Prefill
@@ -286,18 +287,18 @@
     private void startPrefill(long now) {
         mPhase = RequestPhase.PREFILLING;
         mPlacements++;
-        Placed prefill = mRound.prefill();
-        mOpen.openAttempt(prefill.attempt(), prefill.backend());
-        long predicted = Math.max(0, prefill.readyAt() - now);
+        PlacedAttempt prefill = mRound.prefill();
+        mHeld.addAttempt(prefill.attempt(), prefill.backend());
+        long predicted = Math.max(0, prefill.readyAtMillis() - now);
         long timeout = 2 * predicted + mSettings.prefillSlackMillis();
         mEffects.add(
                 new RequestEffect.StartPrefill(
-                        prefill.attempt(), prefill.backend(), mRelay.sent(), timeout));
+                        prefill.attempt(), prefill.backend(), mSequencer.sent(), timeout));
         setTimer(TimerKind.PREFILL, timeout);
     }
 
     private void prefillFailed(StepFailure failure, long now) {
-        noteFailure(mRound.prefill(), failure, failure.duringPrefillProvesDeath(), now);
+        recordFailure(mRound.prefill(), failure, failure.prefillIndicatesCrash(), now);
         placeAgain(mRound.prefill(), failure.prefillReason(), now);
     }
 
@@ -305,87 +306,87 @@
 
     private void startDecode(long now) {
         mPhase = RequestPhase.TRANSFERRING;
-        Placed decode = mRound.decode();
-        mOpen.openAttempt(decode.attempt(), decode.backend());
-        mLastProgress = now;
+        PlacedAttempt decode = mRound.decode();
+        mHeld.addAttempt(decode.attempt(), decode.backend());
+        mLastProgressMillis = now;
         mEffects.add(
                 new RequestEffect.StartDecode(
                         decode.attempt(),
                         decode.backend(),
                         mRound.prefill().attempt(),
                         mRound.prefill().backend(),
-                        mRelay.nextIndex(),
+                        mSequencer.nextIndex(),
                         mShape.maxTokens(),
                         mSettings.transferMillis()));
         setTimer(TimerKind.TRANSFER, mSettings.transferMillis());
     }
 
     private void transferFailed(StepFailure failure, long now) {
-        Placed decode = mRound.decode();
-        noteFailure(decode, failure, failure.duringTransferProvesDeath(), now);
-        if (failure == StepFailure.EVICTED || now >= mResultUntil) {
+        PlacedAttempt decode = mRound.decode();
+        recordFailure(decode, failure, failure.transferIndicatesLostState(), now);
+        if (failure == StepFailure.EVICTED || now >= mResultExpiresAtMillis) {
             placeAgain(decode, RetryReason.RESULT_EVICTED, now);
             return;
         }
         if (failure == StepFailure.FULL) {
-            slotLate(now);
+            retryLateSlot(now);
             return;
         }
-        mRound.failed(decode.backend());
-        mEffects.addAll(mOpen.close(decode.attempt()));
+        mRound.exclude(decode.backend());
+        mEffects.addAll(mHeld.release(decode.attempt()));
         if (retryAllowed(failure.transferReason(), now)) {
-            mRound.decodeElsewhere(now).peekLeft(this::endRefused).peek(other -> startDecode(now));
+            mRound.chooseOtherDecode(now).peekLeft(this::refuse).peek(placed -> startDecode(now));
         }
     }
 
     /**
-     * Tries again for the result while it lives.
+     * Retries the decode while the prefill result exists.
      *
-     * <p>The engine started nothing, so this costs no retry of the budget. Giving the result up
-     * because a slot came some 10 ms late would waste its prefill.
+     * <p>The engine started nothing, so this takes no retry from the budget. Abandoning the result
+     * because a slot became free some 10 ms late would waste its prefill.
      */
-    private void slotLate(long now) {
-        mOpen.attemptEnded(mRound.decode().attempt());
+    private void retryLateSlot(long now) {
+        mHeld.removeAttempt(mRound.decode().attempt());
         mEffects.add(new RequestEffect.CountRetry(RetryReason.ENGINE_FULL));
-        // With grants never elsewhere: an attempt without one takes a slot that is promised to
-        // another request, whose slot then is late too, and so on until promises mean nothing.
+        // With grants no other server is tried: an attempt without a grant takes a slot promised to
+        // another request, which then is late as well, until promises no longer hold.
         if (!mEnvironment.usesGrants()) {
-            mRound.decodeAfterFull(now);
+            mRound.chooseDecodeAfterFull(now);
         }
-        setTimer(TimerKind.SLOT, SLOT_PAUSE_MILLIS);
+        setTimer(TimerKind.SLOT, SLOT_RETRY_MILLIS);
     }
 
     private void imported(long now) {
-        mLastProgress = now;
+        mLastProgressMillis = now;
         if (mPhase != RequestPhase.TRANSFERRING) {
             return;
         }
         mPhase = RequestPhase.STREAMING;
-        mUnusedTokens = 0;
-        mOpen.attemptEnded(mRound.prefill().attempt());
-        mEffects.addAll(mOpen.closeGrant(mRound.prefill().attempt()));
+        mUnusedPrefillTokens = 0;
+        mHeld.removeAttempt(mRound.prefill().attempt());
+        mEffects.addAll(mHeld.releaseGrant(mRound.prefill().attempt()));
         setTimer(TimerKind.SILENCE, mSettings.silenceMillis());
     }
 
     private void relay(int index, String text, long now) {
-        switch (mRelay.offer(index, text)) {
+        switch (mSequencer.offer(index, text)) {
             case NEXT -> {
                 mResumes = 0;
                 mEffects.add(new RequestEffect.Emit(index, text));
             }
             case GAP -> resume(now);
             default -> {
-                // A duplicate: the caller has it already.
+                // A duplicate: the caller already has it.
             }
         }
     }
 
-    private void silenceFired(long now) {
-        long silent = now - mLastProgress;
-        if (silent >= mSettings.silenceMillis()) {
+    private void silenceTimedOut(long now) {
+        long silentMillis = now - mLastProgressMillis;
+        if (silentMillis >= mSettings.silenceMillis()) {
             resume(now);
         } else {
-            setTimer(TimerKind.SILENCE, mSettings.silenceMillis() - silent);
+            setTimer(TimerKind.SILENCE, mSettings.silenceMillis() - silentMillis);
         }
     }
 
@@ -395,11 +396,13 @@
             placeAgain(mRound.decode(), RetryReason.DECODE_LOST, now);
             return;
         }
-        mLastProgress = now;
+        mLastProgressMillis = now;
         mEffects.add(new RequestEffect.CountRetry(RetryReason.STREAM_RESUMED));
         mEffects.add(
                 new RequestEffect.Resume(
-                        mRound.decode().attempt(), mRound.decode().backend(), mRelay.nextIndex()));
+                        mRound.decode().attempt(),
+                        mRound.decode().backend(),
+                        mSequencer.nextIndex()));
         setTimer(TimerKind.SILENCE, mSettings.silenceMillis());
     }
 
@@ -408,32 +411,35 @@
             resume(now);
             return;
         }
-        boolean died = failure == StepFailure.UNREACHABLE || failure == StepFailure.UNKNOWN_ATTEMPT;
-        noteFailure(mRound.decode(), failure, died, now);
+        boolean crashed =
+                failure == StepFailure.UNREACHABLE || failure == StepFailure.UNKNOWN_ATTEMPT;
+        recordFailure(mRound.decode(), failure, crashed, now);
         placeAgain(mRound.decode(), RetryReason.DECODE_LOST, now);
     }
 
     // Endings
 
     /**
-     * Notes what a failure says about the backend server.
+     * Records what a failure indicates about the backend server.
      *
-     * <p>A strike is given only if the request was running there: one that never got a connection
-     * can't have crashed the server, and a cut between failure domains would else strike all.
+     * <p>A strike is recorded only if the request was running there: a request that never got a
+     * connection cannot have crashed the server, and otherwise a network partition between failure
+     * domains would strike all requests.
      */
-    private void noteFailure(Placed placed, StepFailure failure, boolean died, long now) {
+    private void recordFailure(
+            PlacedAttempt placed, StepFailure failure, boolean crashed, long now) {
         if (failure == StepFailure.UNREACHABLE) {
             mEnvironment.backendUnreachable(placed.backend(), now);
         }
-        if (died) {
+        if (crashed) {
             mEnvironment.backendDied(mShape, placed.backend(), now);
         }
     }
 
-    private void placeAgain(Placed culprit, RetryReason reason, long now) {
-        mRound.failed(culprit.backend());
-        countWaste();
-        mEffects.addAll(mOpen.closeAll());
+    private void placeAgain(PlacedAttempt failed, RetryReason reason, long now) {
+        mRound.exclude(failed.backend());
+        countWastedPrefill();
+        mEffects.addAll(mHeld.releaseAll());
         if (retryAllowed(reason, now)) {
             mResumes = 0;
             mRound.begin(now + mSettings.recoveryMillis());
@@ -443,39 +449,40 @@
 
     private boolean retryAllowed(RetryReason reason, long now) {
         if (mPlacements >= mSettings.maxPlacements()) {
-            endRefused(
+            refuse(
                     Refusal.of(
                             RefusalReason.BACKEND_FAILED,
                             mPlacements + " placements failed, the last by " + reason.code()));
             return false;
         }
         if (!mEnvironment.tryAcquireRetry(mShape, reason, now)) {
-            endRefused(Refusal.of(RefusalReason.RETRY_BUDGET_EMPTY, reason.code()));
+            refuse(Refusal.of(RefusalReason.RETRY_BUDGET_EMPTY, reason.code()));
             return false;
         }
         mEffects.add(new RequestEffect.CountRetry(reason));
         return true;
     }
 
-    private void endRefused(Refusal refusal) {
-        end(new RequestEffect.Refuse(refusal, mRelay.nextIndex()));
+    private void refuse(Refusal refusal) {
+        end(new RequestEffect.Refuse(refusal, mSequencer.nextIndex()));
     }
 
-    private void end(RequestEffect last) {
+    private void end(RequestEffect finalEffect) {
         Invariants.require(
-                mPhase != RequestPhase.DONE, () -> mShape.id() + " ended twice, now " + last);
+                mPhase != RequestPhase.DONE,
+                () -> mShape.id() + " ended twice, now " + finalEffect);
         mPhase = RequestPhase.DONE;
         mTimerGeneration++;
-        countWaste();
-        mEffects.addAll(mOpen.closeAll());
-        mEffects.add(last);
-        Invariants.require(mOpen.isEmpty(), () -> mShape.id() + " ended with open work");
+        countWastedPrefill();
+        mEffects.addAll(mHeld.releaseAll());
+        mEffects.add(finalEffect);
+        Invariants.require(mHeld.isEmpty(), () -> mShape.id() + " ended with unreleased resources");
     }
 
-    private void countWaste() {
-        if (mUnusedTokens > 0) {
-            mEffects.add(new RequestEffect.CountWastedPrefill(mUnusedTokens));
-            mUnusedTokens = 0;
+    private void countWastedPrefill() {
+        if (mUnusedPrefillTokens > 0) {
+            mEffects.add(new RequestEffect.CountWastedPrefill(mUnusedPrefillTokens));
+            mUnusedPrefillTokens = 0;
         }
     }
 
@@ -484,7 +491,7 @@
         mEffects.add(new RequestEffect.SetTimer(kind, mTimerGeneration, delay));
     }
 
-    private boolean isAsked(AttemptId attempt) {
+    private boolean awaitsGrant(AttemptId attempt) {
         return mPhase == RequestPhase.PLACING_PREFILL && mRound.isPrefill(attempt)
                 || mPhase == RequestPhase.PLACING_DECODE && mRound.isDecode(attempt);
     }
@@ -494,13 +501,13 @@
                 && (mRound.isPrefill(attempt) || mRound.isDecode(attempt));
     }
 
-    /** An event of a stream that is over comes late; acting on it would answer twice. */
+    /** Late events of an ended stream must be ignored, since handling them would respond twice. */
     private boolean isReceiving(AttemptId attempt) {
         boolean receiving = mPhase == RequestPhase.TRANSFERRING || mPhase == RequestPhase.STREAMING;
         return receiving && mRound.isDecode(attempt);
     }
 
-    private List<RequestEffect> drain() {
+    private List<RequestEffect> takeEffects() {
         List<RequestEffect> effects = mEffects;
         mEffects = new ArrayList<>();
         return effects;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestPhase.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestPhase.java
@@ -1,13 +1,16 @@
 package org.cyclamenpaddle.routing.request;
 
-/** Where a request stands. */
+/** Phase of a request. */
 public enum RequestPhase {
     NEW,
-    /** After a failure, waiting for a backend server that may run it. */
-    REPLACING,
+    /** Waiting for a usable backend server after a failure or while ledgers change owner. */
+    AWAITING_BACKEND,
     PLACING_PREFILL,
     PLACING_DECODE,
-    /** Both halves are granted; the prefill starts so that its result meets the slot. */
+    /**
+     * Both parts are granted; the prefill starts such that its result is ready when the slot is
+     * free.
+     */
     WAITING,
     PREFILLING,
     TRANSFERRING,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestSettings.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestSettings.java
@@ -1,15 +1,16 @@
 package org.cyclamenpaddle.routing.request;
 
 /**
- * Bounds on the steps of a request; all times in milliseconds.
+ * Limits of the steps of a request; all times in milliseconds.
  *
- * @param grantMillis longest wait for an owner's answer
- * @param prefillSlackMillis added to twice the predicted prefill before it counts as failed
- * @param transferMillis longest wait from the start of a transfer to its end
+ * @param grantMillis timeout of an owner's response
+ * @param prefillSlackMillis added to twice the predicted prefill time as the timeout of a prefill
+ * @param transferMillis timeout of a transfer, from its start
  * @param silenceMillis longest wait for the next token before the stream is resumed
- * @param recoveryMillis after a failure, how late a new placement may still start
- * @param maxDecodeChoices decode servers asked for a grant before the request is refused
- * @param maxPlacements placements of one request, the first included
+ * @param recoveryMillis longest time after a failure within which a new placement may start
+ * @param maxDecodeChoices decode servers from which a grant is requested before the request is
+ *     refused
+ * @param maxPlacements maximum number of placements of one request, including the first
  */
 public record RequestSettings(
         long grantMillis,
@@ -22,15 +23,18 @@
 
     public RequestSettings {
         if (grantMillis <= 0 || transferMillis <= 0 || silenceMillis <= 0 || recoveryMillis <= 0) {
-            throw new IllegalArgumentException("request settings must be above 0 ms");
+            throw new IllegalArgumentException("timeouts of a request must be above 0 ms");
         }
         if (maxDecodeChoices < 1 || maxPlacements < 1) {
             throw new IllegalArgumentException(
-                    "choices " + maxDecodeChoices + " and placements " + maxPlacements);
+                    "limits must be at least 1: choices "
+                            + maxDecodeChoices
+                            + " and placements "
+                            + maxPlacements);
         }
     }
 
-    /** Returns the settings that a host uses unless told otherwise. */
+    /** Returns the default settings. */
     public static RequestSettings defaults() {
         return new RequestSettings(150, 500, 1_500, 1_500, 10_000, 4, 4);
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestShape.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestShape.java
@@ -6,17 +6,17 @@
 import org.cyclamenpaddle.core.id.TeamName;
 
 /**
- * What decisions need to know of a request.
+ * Properties of a request that decisions depend on.
  *
  * @param id the request
  * @param service the model service
  * @param team the caller's team
- * @param fingerprint hash of service and prompt, equal for a resend
+ * @param fingerprint hash of service and prompt, equal when the request is sent again
  * @param promptTokens estimated tokens of the prompt
- * @param blockHashes chained hashes of the prompt's whole blocks
- * @param maxTokens most tokens to generate
- * @param firstTokenMillis time left for the first token when the request arrived
- * @param kvBytesPerToken bytes of KV cache for each token
+ * @param blockHashes chained hashes of the prompt's full blocks
+ * @param maxTokens maximum number of tokens to generate
+ * @param firstTokenMillis time left until the first token is due, on arrival of the request
+ * @param kvBytesPerToken bytes of KV cache per token
  */
 public record RequestShape(
         RequestId id,
@@ -31,13 +31,13 @@
 
     public RequestShape {
         if (id == null || service == null || team == null) {
-            throw new IllegalArgumentException("request lacks id, service or team");
+            throw new IllegalArgumentException("a request needs an id, a service and a team");
         }
         if (promptTokens < 1 || maxTokens < 1) {
             throw new IllegalArgumentException(
                     "request "
                             + id
-                            + " needs tokens: prompt "
+                            + " needs at least one token each: prompt "
                             + promptTokens
                             + ", to generate "
                             + maxTokens);
@@ -45,7 +45,7 @@
         blockHashes = List.copyOf(blockHashes);
     }
 
-    /** Returns the bytes of KV cache of the prompt and {@code generated} more tokens. */
+    /** Returns the KV cache size in bytes of the prompt and {@code generated} more tokens. */
     public long kvBytes(int generated) {
         return (promptTokens + (long) generated) * kvBytesPerToken;
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/StepFailure.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/StepFailure.java
@@ -2,23 +2,23 @@
 
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
-/** Why a step on an engine failed, and what that says of the engine. */
+/** Cause of a failed step on an engine, and what it indicates about the engine. */
 public enum StepFailure {
-    /** The engine had no room. */
+    /** The engine had no free capacity. */
     FULL(RetryReason.ENGINE_FULL, RetryReason.ENGINE_FULL),
-    /** The prefill result was gone. */
+    /** The prefill result was evicted. */
     EVICTED(RetryReason.PREFILL_FAILED, RetryReason.RESULT_EVICTED),
     /** The transfer stalled inside the engine. */
     STALLED(RetryReason.PREFILL_FAILED, RetryReason.TRANSFER_STALLED),
-    /** The connection broke; the work may go on inside the engine. */
+    /** The connection broke; the engine may still continue the work. */
     BROKEN(RetryReason.PREFILL_FAILED, RetryReason.TRANSFER_STALLED),
-    /** No answer came in time; nothing tells whether the engine lives. */
+    /** No response within the timeout; the state of the engine is unknown. */
     TIMED_OUT(RetryReason.PREFILL_FAILED, RetryReason.TRANSFER_STALLED),
     /** The engine does not know the attempt. */
     UNKNOWN_ATTEMPT(RetryReason.PREFILL_FAILED, RetryReason.TRANSFER_STALLED),
-    /** No new connection to the engine could be had. */
+    /** No new connection to the engine could be opened. */
     UNREACHABLE(RetryReason.CONNECT_FAILED, RetryReason.CONNECT_FAILED),
-    /** The engine answered something that this version does not understand. */
+    /** The engine's response is not understood by this version. */
     PROTOCOL(RetryReason.PREFILL_FAILED, RetryReason.TRANSFER_STALLED);
 
     private final RetryReason mPrefillReason;
@@ -29,38 +29,40 @@
         mTransferReason = transferReason;
     }
 
-    /** Returns the reason for a retry after a prefill failed so. */
+    /** Returns the retry reason for this failure of a prefill. */
     public RetryReason prefillReason() {
         return mPrefillReason;
     }
 
-    /** Returns the reason for a retry after a transfer failed so. */
+    /** Returns the retry reason for this failure of a transfer. */
     public RetryReason transferReason() {
         return mTransferReason;
     }
 
     /**
-     * Returns whether a prefill that failed so was on an engine that died.
+     * Returns whether this failure of a prefill indicates that the engine crashed.
      *
-     * <p>Each prefill has a connection of its own; one that breaks in the middle is taken for a
-     * crash. One that was never opened can't have crashed the engine.
+     * <p>Each prefill has its own connection; a connection that breaks during it is taken as a
+     * crash. A request whose connection was never opened cannot have crashed the engine.
      */
-    boolean duringPrefillProvesDeath() {
+    boolean prefillIndicatesCrash() {
         return this == BROKEN;
     }
 
-    /** Returns whether a transfer that failed so was on an engine that lost its state. */
-    boolean duringTransferProvesDeath() {
+    /** Returns whether this failure of a transfer indicates that the engine lost its state. */
+    boolean transferIndicatesLostState() {
         return this == UNKNOWN_ATTEMPT;
     }
 
-    /** Returns whether a stream that failed so was on an engine that died or lost its state. */
-    boolean duringStreamProvesDeath() {
+    /**
+     * Returns whether this failure of a stream indicates that the engine crashed or lost its state.
+     */
+    boolean streamIndicatesCrash() {
         return this == UNREACHABLE || this == UNKNOWN_ATTEMPT;
     }
 
-    /** Returns whether the engine may go on with a stream that failed so. */
-    boolean mayHaveLeftStreamRunning() {
+    /** Returns whether the engine may continue a stream after this failure. */
+    boolean streamMayContinue() {
         return this == BROKEN || this == TIMED_OUT;
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/TimerKind.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/TimerKind.java
@@ -1,19 +1,21 @@
 package org.cyclamenpaddle.routing.request;
 
-/** Deadlines that a request sets for itself. */
+/** Timers of a request. */
 public enum TimerKind {
-    /** After a failure no backend server was free; they are ranked again. */
+    /** No backend server was usable; they are ranked again. */
     PLACE,
-    /** An owner did not answer. */
+    /** Timeout of an owner's response to a grant request. */
     GRANT,
-    /** The prefill may start, so that its result meets the promised decode slot. */
+    /**
+     * The prefill may start such that its result is ready when the promised decode slot is free.
+     */
     PREFILL_START,
-    /** The prefill took far longer than predicted. */
+    /** Timeout of the prefill, which took far longer than predicted. */
     PREFILL,
-    /** A decode server whose slot was late is tried again. */
+    /** Retry on a decode server whose slot was late. */
     SLOT,
-    /** The transfer did not end. */
+    /** Timeout of the transfer. */
     TRANSFER,
-    /** No token came. */
+    /** Timeout of the next token. */
     SILENCE
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/AnswerRelay.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/TokenSequencer.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The tokens sent so far, in order, each once.
+ * Passes tokens to the caller in order, each exactly once.
  *
- * <p>Streams that were resumed, and engines that took a request over, may repeat or skip tokens.
- * Sent as they come they would garble the caller's answer; only the next index is passed on.
+ * <p>Resumed streams, and engines that take over a request, may repeat or skip tokens. Passed on as
+ * received they would corrupt the caller's response; only the next index is passed on.
  */
-final class AnswerRelay {
+final class TokenSequencer {
 
-    /** What to do with a token. */
+    /** Result of offering a token. */
     enum Verdict {
         NEXT,
         DUPLICATE,
@@ -20,7 +20,9 @@
 
     private final List<String> mSent = new ArrayList<>();
 
-    /** Takes a token if it is the next one, and says what it was. */
+    /**
+     * Accepts a token if it is the next one, and returns how it relates to the tokens sent so far.
+     */
     Verdict offer(int index, String text) {
         if (index < mSent.size()) {
             return Verdict.DUPLICATE;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The life of one model request as a pure state machine.
+ * State machine of one model request, without side effects.
  *
- * <p>Typed events and a time go in, typed effects come out. The entry host's process performs the
- * effects; a seeded run performs them on fakes.
+ * <p>It takes typed events with their times and returns typed effects. The process of the entry
+ * host performs the effects; a seeded run performs them on fakes.
  */
 package org.cyclamenpaddle.routing.request;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/Backoff.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/Backoff.java
@@ -5,15 +5,15 @@
 /**
  * Exponential backoff with full jitter.
  *
- * <p>Safeguard: retries that wait equally long come back together and fail together; a wait drawn
- * evenly from nothing to the bound spreads them.
+ * <p>Safeguard: retries with equal delays collide again and fail together; a delay drawn uniformly
+ * between zero and the bound spreads them.
  *
- * @param baseMillis bound of the first wait
- * @param maxMillis bound of every wait
+ * @param baseMillis upper bound of the first delay
+ * @param maxMillis upper bound of every delay
  */
 public record Backoff(long baseMillis, long maxMillis) {
 
-    /** Bounds fit for a first token target of some hundred milliseconds. */
+    /** Defaults for a first-token target of some hundred milliseconds. */
     public static final Backoff DEFAULTS = new Backoff(10, 1_000);
 
     private static final int MAX_DOUBLINGS = 30;
@@ -21,14 +21,14 @@
     public Backoff {
         if (baseMillis < 1 || maxMillis < baseMillis) {
             throw new IllegalArgumentException(
-                    "backoff from " + baseMillis + " to " + maxMillis + " ms is contradictory");
+                    "invalid backoff: base " + baseMillis + " ms, maximum " + maxMillis + " ms");
         }
     }
 
     /**
-     * Draws the wait before a retry.
+     * Draws the delay before a retry, in milliseconds.
      *
-     * @param failures attempts that failed before it, at least 1
+     * @param failures failed attempts so far, at least 1
      * @param random source of random numbers
      */
     public long waitMillis(int failures, UniformRandomProvider random) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
@@ -5,24 +5,25 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Bounds retries to a share of the fresh requests of each service.
+ * Limits retries to a share of the new requests of each service.
  *
- * <p>Safeguard: when backend servers fail under load, retries without bound multiply the load and
- * keep them down. With a share of a tenth the load grows by a tenth at most. A small flow that does
- * not depend on fresh requests lets a quiet service retry at all. Not thread-safe.
+ * <p>Safeguard: when backend servers fail under load, unlimited retries multiply the load and
+ * prevent recovery. With a share of one tenth the load grows by a tenth at most. A small refill
+ * rate that does not depend on new requests allows an idle service to retry at all. Not
+ * thread-safe.
  */
 public final class RetryBudget {
 
     /**
      * Settings of a retry budget.
      *
-     * @param share retries earned by one fresh request, from 0 to 1
-     * @param floorPerSecond retries earned each second without any request
-     * @param most retries that can be saved up
+     * @param share retries earned by one new request, from 0 to 1
+     * @param minPerSecond retries earned per second without any request
+     * @param capacity maximum number of accumulated retries
      */
     public record Settings(double share, double minPerSecond, double capacity) {
 
-        /** A tenth of fresh requests, one in two seconds besides, twenty saved up. */
+        /** One tenth of new requests, one more every two seconds, a capacity of twenty. */
         public static final Settings DEFAULTS = new Settings(0.1, 0.5, 20);
 
         public Settings {
@@ -30,9 +31,9 @@
                 throw new IllegalArgumentException(
                         "retry budget out of range: share "
                                 + share
-                                + ", floor "
+                                + ", minimum "
                                 + minPerSecond
-                                + " a second, most "
+                                + " per second, capacity "
                                 + capacity);
             }
         }
@@ -48,39 +49,40 @@
     /**
      * Creates a budget that is full for every service.
      *
-     * @param settings share, floor and bound
+     * @param settings share, refill rate and capacity
      */
     public RetryBudget(Settings settings) {
         mSettings = settings;
     }
 
     /**
-     * Changes share, floor and bound; what is saved up is kept up to the new bound.
+     * Changes share, refill rate and capacity; the accumulated retries are kept up to the new
+     * capacity.
      *
-     * @param settings from now on
+     * @param settings settings from now on
      */
     public void adjust(Settings settings) {
         mSettings = settings;
     }
 
     /**
-     * Counts a fresh request, which earns a share of a retry.
+     * Counts a new request, which earns a share of a retry.
      *
      * @param service its service
-     * @param nowMillis reading of the clock
+     * @param nowMillis current clock reading
      */
     public void freshRequest(ServiceName service, long nowMillis) {
-        earn(service, mSettings.share(), nowMillis);
+        refill(service, mSettings.share(), nowMillis);
     }
 
     /**
-     * Takes one retry out of the budget and returns whether there was one.
+     * Takes one retry from the budget and returns whether one was available.
      *
      * @param service its service
-     * @param nowMillis reading of the clock
+     * @param nowMillis current clock reading
      */
     public boolean tryAcquire(ServiceName service, long nowMillis) {
-        double left = earn(service, 0, nowMillis);
+        double left = refill(service, 0, nowMillis);
         if (left < 1) {
             return false;
         }
@@ -88,16 +90,16 @@
         return true;
     }
 
-    /** Returns the retries left for a service. */
+    /** Returns the accumulated retries of a service. */
     public double remaining(ServiceName service, long nowMillis) {
-        return earn(service, 0, nowMillis);
+        return refill(service, 0, nowMillis);
     }
 
-    private double earn(ServiceName service, double retries, long nowMillis) {
+    private double refill(ServiceName service, double retries, long nowMillis) {
         Balance old = mBalances.getOrDefault(service, new Balance(mSettings.capacity(), nowMillis));
         double passed = Math.max(0, nowMillis - old.atMillis()) / MILLIS_PER_SECOND;
-        double flow = passed * mSettings.minPerSecond();
-        double sum = Math.min(mSettings.capacity(), old.retries() + retries + flow);
+        double refilled = passed * mSettings.minPerSecond();
+        double sum = Math.min(mSettings.capacity(), old.retries() + retries + refilled);
         mBalances.put(service, new Balance(sum, nowMillis));
         return sum;
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/Interval.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/Interval.java
@@ -1,17 +1,17 @@
 package org.cyclamenpaddle.routing.schedule;
 
 /**
- * A span of time on one clock.
+ * A time interval on one clock.
  *
- * @param startMillis first instant
- * @param endMillis first instant after it
+ * @param startMillis start, inclusive
+ * @param endMillis end, exclusive
  */
 public record Interval(long startMillis, long endMillis) {
 
     public Interval {
         if (endMillis < startMillis) {
             throw new IllegalArgumentException(
-                    "interval ends at " + endMillis + " before its start " + startMillis);
+                    "interval end " + endMillis + " is before its start " + startMillis);
         }
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/SerialSchedule.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/SerialSchedule.java
@@ -8,13 +8,13 @@
 import org.cyclamenpaddle.core.invariant.Invariants;
 
 /**
- * Timed reservations of a resource that does one thing at a time, such as a link or the compute of
- * a prefill engine.
+ * Timed reservations of a resource that handles one task at a time, such as a link or the compute
+ * of a prefill engine.
  *
- * <p>A reservation takes the first gap that is long enough, so that a released one can be used by
- * others without moving any promise made before. Not thread-safe.
+ * <p>A reservation takes the first gap that is long enough, so that the time of a released one can
+ * be reused without moving earlier promises. Not thread-safe.
  *
- * @param <K> what a reservation is for
+ * @param <K> type of the keys that hold reservations
  */
 public final class SerialSchedule<K> {
 
@@ -22,15 +22,17 @@
     private final NavigableMap<Long, Interval> mByStart = new TreeMap<>();
 
     /**
-     * Returns when a gap of {@code durationMillis} begins, not before {@code fromMillis}.
+     * Returns the start of the first gap of {@code durationMillis}, not before {@code fromMillis}.
      *
-     * @param fromMillis earliest begin
+     * @param fromMillis earliest start
      * @param durationMillis length of the gap, not negative
      */
     public long earliest(long fromMillis, long durationMillis) {
-        Map.Entry<Long, Interval> before = mByStart.floorEntry(fromMillis);
+        Map.Entry<Long, Interval> previous = mByStart.floorEntry(fromMillis);
         long start =
-                before == null ? fromMillis : Math.max(fromMillis, before.getValue().endMillis());
+                previous == null
+                        ? fromMillis
+                        : Math.max(fromMillis, previous.getValue().endMillis());
         for (Interval next : mByStart.tailMap(start, true).values()) {
             if (next.startMillis() - start >= durationMillis) {
                 return start;
@@ -41,10 +43,11 @@
     }
 
     /**
-     * Reserves the first gap that is long enough; a key that has a reservation keeps it.
+     * Reserves the first gap that is long enough; an existing reservation of the key is returned
+     * unchanged.
      *
-     * @param key what it is for
-     * @param fromMillis earliest begin
+     * @param key holder of the reservation
+     * @param fromMillis earliest start
      * @param durationMillis length, not negative
      */
     public Interval reserve(K key, long fromMillis, long durationMillis) {
@@ -53,17 +56,18 @@
             return held;
         }
         long start = earliest(fromMillis, durationMillis);
-        Interval taken = new Interval(start, start + durationMillis);
-        mByKey.put(key, taken);
+        Interval reserved = new Interval(start, start + durationMillis);
+        mByKey.put(key, reserved);
         if (durationMillis > 0) {
-            Interval former = mByStart.put(start, taken);
+            Interval overlapping = mByStart.put(start, reserved);
             Invariants.require(
-                    former == null, () -> "reservations " + former + " and " + taken + " overlap");
+                    overlapping == null,
+                    () -> "reservations " + overlapping + " and " + reserved + " overlap");
         }
-        return taken;
+        return reserved;
     }
 
-    /** Gives back the reservation of {@code key}, if it has one. */
+    /** Releases the reservation of {@code key}, if any. */
     public void release(K key) {
         Interval held = mByKey.remove(key);
         if (held != null && held.lengthMillis() > 0) {
@@ -71,12 +75,12 @@
         }
     }
 
-    /** Returns the reservation of {@code key}. */
+    /** Returns the reservation of {@code key}, if any. */
     public Optional<Interval> reservation(K key) {
         return Optional.ofNullable(mByKey.get(key));
     }
 
-    /** Returns when the last reservation ends, or {@code nowMillis} if that has passed. */
+    /** Returns the end of the last reservation, or {@code nowMillis} if it has passed. */
     public long endOfLast(long nowMillis) {
         Map.Entry<Long, Interval> last = mByStart.lastEntry();
         return last == null ? nowMillis : Math.max(nowMillis, last.getValue().endMillis());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/RoomProfile.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/UsageProfile.java
@@ -5,12 +5,12 @@
 import java.util.TreeMap;
 
 /**
- * Slots and memory pieces in use over time, as a step function.
+ * Slots and KV cache blocks in use over time, as a step function.
  *
- * <p>Built from scratch for each question: a backend server holds a few dozen reservations, and
- * their expected ends move. Not thread-safe.
+ * <p>Built anew for each query: a backend server has a few dozen reservations, and their expected
+ * ends change. Not thread-safe.
  */
-public final class RoomProfile {
+public final class UsageProfile {
 
     private record Use(int slots, int pieces) {
 
@@ -20,19 +20,19 @@
             return new Use(slots + other.slots, pieces + other.pieces);
         }
 
-        private boolean leaves(int wantedPieces, int maxSlots, int maxPieces) {
-            return slots < maxSlots && pieces + wantedPieces <= maxPieces;
+        private boolean leavesFree(int requiredPieces, int maxSlots, int maxPieces) {
+            return slots < maxSlots && pieces + requiredPieces <= maxPieces;
         }
     }
 
     private final NavigableMap<Long, Use> mChanges = new TreeMap<>();
 
     /**
-     * Adds one slot and some pieces in use.
+     * Adds the use of one slot and some pieces over an interval.
      *
-     * @param startMillis first instant of use
-     * @param endMillis first instant after it; nothing is added if not after the start
-     * @param pieces memory pieces in use
+     * @param startMillis start of use, inclusive
+     * @param endMillis end of use, exclusive; nothing is added if not after the start
+     * @param pieces KV cache blocks in use
      */
     public void add(long startMillis, long endMillis, int pieces) {
         if (endMillis <= startMillis) {
@@ -43,13 +43,13 @@
     }
 
     /**
-     * Returns the first instant from which one slot and {@code pieces} are free for a time.
+     * Returns the first time from which one slot and {@code pieces} are free for a given duration.
      *
-     * @param fromMillis earliest instant
-     * @param holdMillis how long they must be free
-     * @param pieces pieces wanted, at most {@code maxPieces}
-     * @param maxSlots slots there are, at least one
-     * @param maxPieces pieces there are
+     * @param fromMillis earliest time
+     * @param holdMillis duration for which they must be free
+     * @param pieces required pieces, at most {@code maxPieces}
+     * @param maxSlots total slots, at least one
+     * @param maxPieces total pieces
      */
     public long earliest(
             long fromMillis, long holdMillis, int pieces, int maxSlots, int maxPieces) {
@@ -63,7 +63,7 @@
                 return start;
             }
             use = use.plus(change.getValue());
-            boolean fitsNow = use.leaves(pieces, maxSlots, maxPieces);
+            boolean fitsNow = use.leavesFree(pieces, maxSlots, maxPieces);
             if (fitsNow && !fits) {
                 start = Math.max(fromMillis, at);
             }
@@ -72,12 +72,12 @@
         return start;
     }
 
-    /** Returns the most slots in use at one instant from {@code fromMillis} on. */
+    /** Returns the maximum number of slots in use at one time from {@code fromMillis} on. */
     public int peakSlots(long fromMillis) {
         return peak(fromMillis, true);
     }
 
-    /** Returns the most pieces in use at one instant from {@code fromMillis} on. */
+    /** Returns the maximum number of pieces in use at one time from {@code fromMillis} on. */
     public int peakPieces(long fromMillis) {
         return peak(fromMillis, false);
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/expect/TokenPaceTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/expect/TokenIntervalModelTest.java
@@ -5,20 +5,20 @@
 
 import org.testng.annotations.Test;
 
-public class TokenPaceTest {
+public class TokenIntervalModelTest {
 
-    private static TokenIntervalModel learned(double alone, double perRequest) {
-        TokenIntervalModel pace = new TokenIntervalModel();
+    private static TokenIntervalModel learned(double baseMillis, double millisPerRequest) {
+        TokenIntervalModel model = new TokenIntervalModel();
         for (int i = 0; i < 200; i++) {
             int batch = 1 + i % 20;
-            pace.observed(id(1), batch, alone + perRequest * batch);
+            model.observed(id(1), batch, baseMillis + millisPerRequest * batch);
         }
-        return pace;
+        return model;
     }
 
     /**
-     * Callers get their tokens at the promised pace. An engine is slower than the target when all
-     * its twenty slots are in use; filling it would make all twenty streams late.
+     * An engine exceeds the target for the time between tokens when all its twenty slots are in
+     * use; filling it would make all twenty streams late.
      */
     @Test
     public void findsLargestBatchWithinTarget() {
@@ -28,10 +28,10 @@
     }
 
     @Test
-    public void allSlotsUntilEnoughIsKnown() {
-        TokenIntervalModel pace = new TokenIntervalModel();
-        pace.observed(id(1), 20, 500);
-        assertEquals(pace.maxBatchWithin(id(1), 44, 20), 20);
+    public void allSlotsUntilEnoughSamples() {
+        TokenIntervalModel model = new TokenIntervalModel();
+        model.observed(id(1), 20, 500);
+        assertEquals(model.maxBatchWithin(id(1), 44, 20), 20);
         assertEquals(learned(10, 2).maxBatchWithin(id(2), 44, 20), 20);
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimitTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimitTest.java
@@ -13,7 +13,7 @@
 
 public class ConcurrencyLimitTest {
 
-    private static final TeamName LOUD = new TeamName("loud");
+    private static final TeamName BUSY = new TeamName("loud");
 
     private static ConcurrencyLimit limit() {
         return new ConcurrencyLimit(new ConcurrencyLimit.Settings(10, 0.5), TeamShares.EQUAL);
@@ -24,17 +24,18 @@
     }
 
     /**
-     * A loud team's callers see 429 once the service is nearly full, and each of five other teams
-     * is still served. Without shares the loud team would hold all ten places.
+     * One team sends more than its share while the service is nearly full. It must get a 429, and
+     * each of five other teams must still be served; without shares the first team would hold all
+     * ten slots.
      */
     @Test
-    public void loudTeamLeavesRoomToOthers() {
+    public void busyTeamLeavesCapacityToOthers() {
         ConcurrencyLimit limit = limit();
         for (int i = 0; i < 5; i++) {
-            assertEquals(begin(limit, i, LOUD), Optional.empty());
+            assertEquals(begin(limit, i, BUSY), Optional.empty());
         }
         assertEquals(begin(limit, 50, new TeamName("quiet")), Optional.empty());
-        assertEquals(begin(limit, 51, LOUD), Optional.of(RefusalReason.TEAM_LIMIT));
+        assertEquals(begin(limit, 51, BUSY), Optional.of(RefusalReason.TEAM_LIMIT));
         for (int team = 0; team < 4; team++) {
             assertEquals(begin(limit, 100 + team, new TeamName("team-" + team)), Optional.empty());
         }
@@ -43,20 +44,20 @@
     }
 
     @Test
-    public void loneTeamMayUseTheWholeService() {
+    public void singleTeamMayUseWholeService() {
         ConcurrencyLimit limit = limit();
         for (int i = 0; i < 10; i++) {
-            assertEquals(begin(limit, i, LOUD), Optional.empty());
+            assertEquals(begin(limit, i, BUSY), Optional.empty());
         }
-        assertEquals(begin(limit, 10, LOUD), Optional.of(RefusalReason.QUEUE_FULL));
+        assertEquals(begin(limit, 10, BUSY), Optional.of(RefusalReason.QUEUE_FULL));
     }
 
     @Test
     public void beginAndEndAreIdempotent() {
         ConcurrencyLimit limit = limit();
-        begin(limit, 1, LOUD);
-        begin(limit, 1, LOUD);
-        begin(limit, 2, LOUD);
+        begin(limit, 1, BUSY);
+        begin(limit, 1, BUSY);
+        begin(limit, 2, BUSY);
         limit.end(new RequestId("request-1"));
         limit.end(new RequestId("request-1"));
         assertEquals(limit.inProgress(SERVICE), 1);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/link/LinkBudgetTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/link/LinkBudgetTest.java
@@ -19,7 +19,7 @@
         assertEquals(link.reserve(attempt(1), 100, 50), new Interval(100, 150));
         assertEquals(link.reserve(attempt(2), 100, 50), new Interval(150, 200));
         assertEquals(link.reserve(attempt(3), 0, 100), new Interval(0, 100));
-        assertEquals(link.reserve(attempt(1), 0, 50), new Interval(100, 150), "kept");
+        assertEquals(link.reserve(attempt(1), 0, 50), new Interval(100, 150), "unchanged");
         assertEquals(link.freeAt(0), 200);
     }
 
@@ -52,9 +52,9 @@
             held.add(span);
             holders.add(number);
             if (held.size() > 30) {
-                int gone = random.nextInt(held.size());
-                link.release(attempt(holders.remove(gone)));
-                held.remove(gone);
+                int released = random.nextInt(held.size());
+                link.release(attempt(holders.remove(released)));
+                held.remove(released);
             }
         }
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -16,7 +16,8 @@
 import org.cyclamenpaddle.core.time.VirtualClock;
 
 /**
- * Performs a machine's effects on faulty engines and owners, by a seeded random and virtual time.
+ * Performs a state machine's effects on faulty engines and owners, with a seeded random source and
+ * virtual time.
  */
 final class FakeEngines implements RequestEffectHandler {
 
@@ -32,7 +33,7 @@
     private final UniformRandomProvider mRandom;
     private final double mFaultShare;
     private final Map<AttemptId, Integer> mHolding = new HashMap<>();
-    private final Map<AttemptId, Integer> mIncarnationOfStream = new HashMap<>();
+    private final Map<AttemptId, Integer> mStreamNumbers = new HashMap<>();
     private final Map<AttemptId, Integer> mLength = new HashMap<>();
     private final Set<AttemptId> mGranted = new HashSet<>();
     private final List<String> mAnswer = new ArrayList<>();
@@ -163,7 +164,7 @@
                             StepFailure.UNREACHABLE,
                             StepFailure.BROKEN);
             if (failure == StepFailure.FULL) {
-                // By the protocol a full engine has started nothing, and so holds nothing.
+                // By the protocol a full engine has started nothing and so holds nothing.
                 mHolding.remove(attempt);
             }
             at(10, now -> mMachine.onStreamFailed(attempt, failure, now));
@@ -179,9 +180,9 @@
         stream(attempt, effect.firstIndex(), 40);
     }
 
-    /** Delivers tokens from an index; an older stream of the attempt falls silent. */
+    /** Delivers tokens from an index; an older stream of the attempt stops. */
     private void stream(AttemptId attempt, int from, long delay) {
-        int life = mIncarnationOfStream.merge(attempt, 1, Integer::sum);
+        int streamNumber = mStreamNumbers.merge(attempt, 1, Integer::sum);
         long when = delay;
         for (int index = from; index < mLength.get(attempt); index++) {
             if (fault()) {
@@ -193,9 +194,9 @@
             }
             int current = index;
             boolean twice = fault();
-            at(when, now -> deliver(attempt, life, current, now));
+            at(when, now -> deliver(attempt, streamNumber, current, now));
             if (twice) {
-                at(when + 5, now -> deliver(attempt, life, current, now));
+                at(when + 5, now -> deliver(attempt, streamNumber, current, now));
             }
             when += TOKEN_MILLIS;
         }
@@ -204,8 +205,8 @@
         }
     }
 
-    private List<RequestEffect> deliver(AttemptId attempt, int life, int index, long now) {
-        boolean current = mIncarnationOfStream.get(attempt) == life;
+    private List<RequestEffect> deliver(AttemptId attempt, int streamNumber, int index, long now) {
+        boolean current = mStreamNumbers.get(attempt) == streamNumber;
         return current ? mMachine.onToken(attempt, index, token(index), now) : List.of();
     }
 
@@ -256,6 +257,6 @@
 
     @Override
     public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
-        // Counted by the engines themselves where it matters.
+        // Wasted prefill is counted by the engines where it matters.
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -27,7 +27,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Seeded random runs of single requests: {@code -Drequest.seed=S -Drequest.runs=N} for other ones.
+ * Runs single requests with seeded random faults; {@code -Drequest.seed=S -Drequest.runs=N} selects
+ * other runs.
  */
 public class RequestMachineRandomTest {
 
@@ -40,19 +41,20 @@
         return new Object[][] {{0.0}, {0.02}, {0.15}, {0.5}};
     }
 
-    // The caller sees either the whole answer in order or one refusal, never both or neither.
-    // Grants are lost or late, prefills fail, transfers stall, streams break, skip and repeat, and
-    // callers leave at any step, all by a seeded random. Afterwards no engine holds an attempt and
-    // no owner a grant, since a request that is over has nobody to give them back.
+    // Each request must end with either the complete response in order or one refusal, never with
+    // both or neither. Grants are lost or late, prefills fail, transfers stall, streams break, skip
+    // and repeat, and callers disconnect in any phase, all by a seeded random source. Afterwards no
+    // engine may hold an attempt and no owner a grant, since nothing would release those of a
+    // request that has ended.
     @Test(dataProvider = "faultShares")
     public void everyRequestEndsOnceAndHoldsNothing(double faultShare) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         int finished = 0;
         for (int run = 0; run < RUNS; run++) {
             FakeEngines engines = new FakeEngines(random, faultShare);
-            long leaves = random.nextInt(5) == 0 ? 1 + random.nextInt(900) : 0;
+            long disconnectsAfter = random.nextInt(5) == 0 ? 1 + random.nextInt(900) : 0;
 
-            engines.run(machine(random), leaves);
+            engines.run(machine(random), disconnectsAfter);
 
             finished += check(engines, "seed " + SEED + " run " + run);
         }
@@ -60,7 +62,7 @@
     }
 
     private static int check(FakeEngines engines, String run) {
-        assertEquals(engines.finals().size(), 1, run + " finals " + engines.finals());
+        assertEquals(engines.finals().size(), 1, run + " final effects " + engines.finals());
         List<String> expected =
                 IntStream.range(0, engines.answer().size())
                         .mapToObj(FakeEngines::token)
@@ -91,7 +93,7 @@
         return new RequestMachine(shape, RequestSettings.defaults(), new RandomEnvironment(random));
     }
 
-    /** Four servers of each role; a random one of those not excluded comes first. */
+    /** Four servers of each role; a random one that is not excluded is ranked first. */
     private static final class RandomEnvironment implements RequestEnvironment {
 
         private static final Incarnation HOST = new Incarnation(new HostId("ahm-1"), 1L);
@@ -182,12 +184,12 @@
 
         @Override
         public void backendUnreachable(BackendId backend, long now) {
-            // The exclusion set of the machine is enough here.
+            // The exclusion set of the state machine suffices here.
         }
 
         @Override
         public void backendDied(RequestShape shape, BackendId backend, long now) {
-            // The exclusion set of the machine is enough here.
+            // The exclusion set of the state machine suffices here.
         }
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
@@ -13,9 +13,8 @@
     private static final RetryBudget.Settings TENTH = new RetryBudget.Settings(0.1, 0, 5);
 
     /**
-     * Callers see refusals, and the pool stays at its load. Every attempt of an hour's requests
-     * fails, and each failure asks for a retry. Without a budget the failing pool would get twice
-     * the load.
+     * Every attempt of ten thousand requests fails, and each failure asks for a retry. Without a
+     * budget the failing pool would get twice the load.
      */
     @Test
     public void retriesStayWithinShareOfFreshRequests() {
@@ -29,7 +28,7 @@
     }
 
     @Test
-    public void quietServiceRetriesByTheFloor() {
+    public void idleServiceRetriesAtMinimumRate() {
         RetryBudget budget = new RetryBudget(new RetryBudget.Settings(0, 1, 1));
         assertTrue(budget.tryAcquire(SERVICE, 0));
         assertEquals(budget.tryAcquire(SERVICE, 999), false);
@@ -40,22 +39,23 @@
     public void backoffIsBoundedAndSpread() {
         Backoff backoff = new Backoff(10, 100);
         UniformRandomProvider random = random(1);
-        long most = 0;
+        long max = 0;
         long sum = 0;
         for (int i = 0; i < 1_000; i++) {
             long wait = backoff.waitMillis(60, random);
-            most = Math.max(most, wait);
+            max = Math.max(max, wait);
             sum += wait;
         }
-        assertEquals(most, 100);
+        assertEquals(max, 100);
         assertTrue(sum > 40_000 && sum < 60_000, "sum " + sum);
     }
 
     /**
-     * The bound changes while half of the old one is saved up: no more than the new one is left.
+     * The capacity shrinks while more than the new one is accumulated: only the new capacity
+     * remains.
      */
     @Test
-    public void adjustedBudgetKeepsWithinItsNewBound() {
+    public void adjustedBudgetIsCappedAtNewCapacity() {
         RetryBudget budget = new RetryBudget(TENTH);
         assertEquals(budget.remaining(SERVICE, 0), 5.0);
         budget.adjust(new RetryBudget.Settings(0.1, 0, 2));
