--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -18,13 +18,13 @@
 import org.cyclamenpaddle.routing.schedule.Interval;
 
 /**
- * The ledger of grants of one backend server in one role, kept by the host that owns it.
+ * Ledger of the grants of one backend server in one role, maintained by the host that owns it.
  *
- * <p>It is soft state: losing it, or two owners for a moment, costs efficiency and not safety,
- * since an engine refuses what it has no room for. No grant promises more slots or pieces than
- * there are at any instant, as far as the ledger knows; only what {@link #register} and {@link
- * #observe} tell of and attempts that run longer than expected can exceed them. Not thread-safe;
- * every method takes the reading of one clock.
+ * <p>It is soft state: its loss, or two owners for a moment, costs efficiency and not safety, since
+ * an engine rejects what it has no capacity for. As far as the ledger knows, its grants never
+ * promise more slots or pieces than exist at any time; only reservations from {@link #register} and
+ * {@link #observe}, and attempts that run longer than expected, can exceed them. Not thread-safe;
+ * all methods take readings of one clock.
  */
 public final class GrantLedger {
 
@@ -32,19 +32,19 @@
     private final LedgerSettings mSettings;
     private final Map<AttemptId, Reservation> mHeld = new LinkedHashMap<>();
     private final Set<AttemptId> mEnded = new LinkedHashSet<>();
-    private final RoomPlan mPlan;
+    private final CapacityPlan mPlan;
 
     private BackendSpec mSpec;
     private boolean mObserved;
     private boolean mClosed;
-    private long mRecoverUntil = Long.MIN_VALUE;
+    private long mRecoversUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates an empty ledger.
      *
      * @param spec the backend server
-     * @param role what the preset in force uses it for
-     * @param settings times and sizes
+     * @param role role of the backend server in the preset in force
+     * @param settings times and limits
      */
     public GrantLedger(BackendSpec spec, BackendRole role, LedgerSettings settings) {
         mSpec = spec;
@@ -52,18 +52,19 @@
         mSettings = settings;
         mPlan =
                 role == BackendRole.PREFILL
-                        ? new QueuePlan(spec, settings)
+                        ? new PrefillPlan(spec, settings)
                         : new SlotPlan(spec, settings);
     }
 
     /**
-     * Decides on an ask; idempotent by attempt.
+     * Decides on a grant request; idempotent by attempt.
      *
-     * <p>Decode and plain: {@code latestInMillis} bounds the start of the room. Prefill: it bounds
-     * the expected end of prefill and transfer. An attempt that has ended gets no room again.
+     * <p>Decode and plain: {@code latestInMillis} bounds the start of the reservation. Prefill: it
+     * bounds the expected end of prefill and transfer. An attempt that has ended is not granted
+     * again.
      *
-     * @param ask an ask for this backend server
-     * @param nowMillis reading of the clock
+     * @param ask a grant request for this backend server
+     * @param nowMillis current clock reading
      */
     public GrantAnswer request(GrantAsk ask, long nowMillis) {
         requireOwn(ask);
@@ -76,7 +77,7 @@
             return unavailable(ask, 0);
         }
         if (recovering(nowMillis) && !mObserved) {
-            return unavailable(ask, mRecoverUntil - nowMillis);
+            return unavailable(ask, mRecoversUntilMillis - nowMillis);
         }
         if (mSpec.memoryPieces() > 0 && ask.pieces() > mSpec.memoryPieces()) {
             return new GrantAnswer(ask.attempt(), ask.backend(), GrantDecision.TOO_BIG, 0, 0);
@@ -85,21 +86,21 @@
         if (mPlan.tooLate(ask, span, nowMillis)) {
             return answer(ask, GrantDecision.TOO_LATE, span, nowMillis);
         }
-        hold(ask, span, false);
-        mPlan.requireRoom(mHeld.values(), span, nowMillis);
+        addReservation(ask, span, false);
+        mPlan.requireCapacity(mHeld.values(), span, nowMillis);
         return answer(ask, GrantDecision.GRANTED, span, nowMillis);
     }
 
     /**
-     * Gives back the room of an attempt; idempotent, and remembered, so that an ask delivered late
-     * gets none.
+     * Releases the reservation of an attempt; idempotent. The attempt is remembered, so that a
+     * grant request delivered late is refused.
      *
      * @param attempt the attempt
-     * @param nowMillis reading of the clock
+     * @param nowMillis current clock reading
      */
     public void release(AttemptId attempt, long nowMillis) {
         Reservation held = mHeld.get(attempt);
-        if (held != null && held.begun(nowMillis)) {
+        if (held != null && held.started(nowMillis)) {
             mPlan.ended(held, nowMillis);
         }
         remove(attempt);
@@ -110,12 +111,13 @@
     }
 
     /**
-     * Enters room that a peer's attempt holds or was promised by the former owner.
+     * Registers a reservation that a peer's attempt holds or was promised by the previous owner.
      *
-     * <p>It is entered even where it exceeds what there is: the former owner promised it.
+     * <p>It is registered even where it exceeds the capacity: the previous owner promised it.
      *
-     * @param held the peer's ask, with {@code neededInMillis} 0 if the attempt runs already
-     * @param nowMillis reading of the clock
+     * @param held the peer's grant request, with {@code neededInMillis} 0 if the attempt is already
+     *     running
+     * @param nowMillis current clock reading
      */
     public void register(GrantAsk held, long nowMillis) {
         requireOwn(held);
@@ -123,47 +125,47 @@
         if (mEnded.contains(held.attempt()) || mRole != held.role()) {
             return;
         }
-        boolean seen = known && mHeld.get(held.attempt()).seen();
+        boolean observed = known && mHeld.get(held.attempt()).observed();
         remove(held.attempt());
         long start = nowMillis + Math.max(0, held.neededInMillis());
-        hold(held, new Interval(start, start + held.holdMillis()), seen);
+        addReservation(held, new Interval(start, start + held.holdMillis()), observed);
     }
 
     /**
      * Reconciles the ledger with the engine's own list of attempts.
      *
-     * <p>Attempts that only the engine knows are counted from now on. A promise whose start passed
-     * the grace time ago without the attempt being seen expires, and so does an attempt that was
-     * seen before and is not any more.
+     * <p>Attempts that only the engine knows are counted from now on. A promise expires if its
+     * attempt has not been observed within the grace time after its start; a reservation whose
+     * attempt was observed before expires once it is no longer listed.
      *
-     * @param attempts the engine's whole list
-     * @param nowMillis reading of the clock
+     * @param attempts the engine's complete list
+     * @param nowMillis current clock reading
      */
     public void observe(List<ObservedAttempt> attempts, long nowMillis) {
         Map<AttemptId, ObservedAttempt> running =
                 attempts.stream()
-                        .filter(seen -> !seen.ended() && seen.role() == mRole)
+                        .filter(observed -> !observed.ended() && observed.role() == mRole)
                         .collect(
                                 Collectors.toMap(
                                         ObservedAttempt::attempt,
-                                        seen -> seen,
+                                        observed -> observed,
                                         (first, second) -> first,
                                         HashMap::new));
-        List<AttemptId> gone =
+        List<AttemptId> expired =
                 mHeld.values().stream()
                         .filter(held -> !running.containsKey(held.attempt()))
-                        .filter(held -> held.seen() || neverStarted(held, nowMillis))
+                        .filter(held -> held.observed() || expiredUnstarted(held, nowMillis))
                         .map(Reservation::attempt)
                         .toList();
-        gone.forEach(this::remove);
-        running.values().forEach(seen -> count(seen, nowMillis));
+        expired.forEach(this::remove);
+        running.values().forEach(observed -> recordObserved(observed, nowMillis));
         mObserved = true;
     }
 
     /**
-     * Tells what peers should know of this ledger.
+     * Returns the summary of this ledger for peers.
      *
-     * @param nowMillis reading of the clock
+     * @param nowMillis current clock reading
      */
     public LedgerSummary summary(long nowMillis) {
         LedgerSummary summary = mPlan.summary(mHeld.values(), reservedSlots(nowMillis), nowMillis);
@@ -176,67 +178,71 @@
     /**
      * Makes this ledger conservative for a time after a change of owner.
      *
-     * <p>Safeguard: the former owner's promises are unknown at first, and promising their slots
-     * again would waste the prefills made for them. Until the engine's list was observed nothing is
-     * granted; then a share of the slots stays free for promises not yet registered.
+     * <p>Safeguard: the previous owner's promises are unknown at first, and promising their slots
+     * again would waste the prefills made for them. Until the engine's list has been observed
+     * nothing is granted; then a share of the slots stays free for promises not yet registered.
      *
-     * @param untilMillis reading of the clock at which recovery ends
+     * @param untilMillis clock reading at which recovery ends
      */
     public void recoverUntil(long untilMillis) {
-        mRecoverUntil = untilMillis;
+        mRecoversUntilMillis = untilMillis;
         mObserved = false;
     }
 
     /**
-     * Takes over a changed declaration of the same backend server; what is held stays held.
+     * Applies a changed declaration of the same backend server; reservations are retained.
      *
-     * @param spec the declaration; other rates than before need a new ledger
+     * @param spec the declaration; changed rates require a new ledger
      */
     public void updateSpec(BackendSpec spec) {
         Invariants.require(
                 spec.id().equals(mSpec.id()),
-                () -> "ledger of " + mSpec.id() + " got " + spec.id());
+                () -> "ledger of " + mSpec.id() + " cannot be updated to " + spec.id());
         mSpec = spec;
     }
 
-    /** Grants nothing new until {@link #open}; what is held stays held. */
+    /** Stops granting until {@link #open}; reservations are retained. */
     public void close() {
         mClosed = true;
     }
 
-    /** Grants again after {@link #close}. */
+    /** Resumes granting after {@link #close}. */
     public void open() {
         mClosed = false;
     }
 
     /**
-     * Gives out no more than some of a decode server's slots from now on, so that its tokens keep
-     * their pace; what is held stays held.
+     * Limits the slots of a decode server that are granted from now on, so that its time between
+     * tokens stays within the target; reservations are retained.
      *
-     * @param most slots, at least 1
+     * @param maxSlots maximum number of slots, at least 1
      */
-    public void limitSlots(int most) {
-        if (most < 1) {
-            throw new IllegalArgumentException("slot limit " + most + " must be above 0");
+    public void limitSlots(int maxSlots) {
+        if (maxSlots < 1) {
+            throw new IllegalArgumentException("slot limit " + maxSlots + " must be above 0");
         }
-        mPlan.limitSlots(most);
+        mPlan.limitSlots(maxSlots);
     }
 
-    /** Returns the role that the backend server has in this ledger. */
+    /** Returns the role of the backend server in this ledger. */
     public BackendRole role() {
         return mRole;
     }
 
-    /** Returns the attempts that hold or are promised room. */
+    /** Returns the attempts that hold or are promised a reservation. */
     public Set<AttemptId> attempts() {
         return Set.copyOf(mHeld.keySet());
     }
 
-    private void hold(GrantAsk ask, Interval span, boolean seen) {
+    private void addReservation(GrantAsk ask, Interval span, boolean observed) {
         Reservation reservation =
                 new Reservation(
-                        ask.attempt(), ask.pieces(), span.startMillis(), span.endMillis(), seen);
-        mPlan.take(ask, span);
+                        ask.attempt(),
+                        ask.pieces(),
+                        span.startMillis(),
+                        span.endMillis(),
+                        observed);
+        mPlan.reserve(ask, span);
         mHeld.put(ask.attempt(), reservation);
     }
 
@@ -245,21 +251,21 @@
         mHeld.remove(attempt);
     }
 
-    private void count(ObservedAttempt seen, long nowMillis) {
-        Reservation held = mHeld.get(seen.attempt());
+    private void recordObserved(ObservedAttempt observed, long nowMillis) {
+        Reservation held = mHeld.get(observed.attempt());
         Reservation counted =
                 held == null
                         ? new Reservation(
-                                seen.attempt(),
-                                seen.pieces(),
+                                observed.attempt(),
+                                observed.pieces(),
                                 nowMillis,
                                 nowMillis + mSettings.unknownHoldMillis(),
                                 true)
-                        : held.observed(seen.pieces());
-        mHeld.put(seen.attempt(), counted);
+                        : held.withObservation(observed.pieces());
+        mHeld.put(observed.attempt(), counted);
     }
 
-    private boolean neverStarted(Reservation held, long nowMillis) {
+    private boolean expiredUnstarted(Reservation held, long nowMillis) {
         return nowMillis - held.startMillis() > mSettings.startGraceMillis();
     }
 
@@ -268,7 +274,7 @@
     }
 
     private boolean recovering(long nowMillis) {
-        return nowMillis < mRecoverUntil;
+        return nowMillis < mRecoversUntilMillis;
     }
 
     private int reservedSlots(long nowMillis) {
@@ -296,6 +302,6 @@
     private void requireOwn(GrantAsk ask) {
         Invariants.require(
                 ask.backend().equals(mSpec.id()),
-                () -> "ledger of " + mSpec.id() + " asked for " + ask.backend());
+                () -> "ledger of " + mSpec.id() + " got a request for " + ask.backend());
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/HoldCurve.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/HoldTimeDistribution.java
@@ -1,20 +1,20 @@
 package org.cyclamenpaddle.routing.grant;
 
 /**
- * How long attempts hold a slot compared with what was expected of them, learned from those that
- * ended.
+ * Distribution of how long attempts hold a slot relative to the expected time, learned from ended
+ * attempts.
  *
- * <p>Half of all answers are longer than their median, and no single one's end can be told in
- * advance; but of twenty running ones it can be told how many will have ended in half a second.
- * Until enough was learned an exponential distribution stands in, which expects of each attempt the
- * same whatever its age. Old samples are forgotten by halves. Not thread-safe.
+ * <p>Half of all responses are longer than their median, and the end of a single one cannot be
+ * predicted; but for twenty running ones the number that ends within half a second can be. Until
+ * enough is learned, an exponential prior is used, which expects the same remaining time of each
+ * attempt whatever its age. Old samples decay by halving. Not thread-safe.
  */
-final class HoldCurve {
+final class HoldTimeDistribution {
 
     private static final int BINS_PER_UNIT = 16;
     private static final int BINS = 8 * BINS_PER_UNIT;
     private static final double PRIOR_SAMPLES = 10;
-    private static final double MOST_SAMPLES = 1_000;
+    private static final double MAX_SAMPLES = 1_000;
 
     private final double[] mEndedInBin = new double[BINS];
     private final double[] mLongerThanBin = new double[BINS + 1];
@@ -22,8 +22,8 @@
     private double mSamples;
     private boolean mStale = true;
 
-    /** Takes in an attempt that ended. */
-    void ended(long expectedMillis, long actualMillis) {
+    /** Records an attempt that has ended. */
+    void record(long expectedMillis, long actualMillis) {
         if (expectedMillis <= 0 || actualMillis < 0) {
             return;
         }
@@ -31,18 +31,18 @@
         int bin = (int) Math.min(BINS - 1, ratio * BINS_PER_UNIT);
         mEndedInBin[bin]++;
         mSamples++;
-        if (mSamples > MOST_SAMPLES) {
+        if (mSamples > MAX_SAMPLES) {
             halve();
         }
         mStale = true;
     }
 
     /**
-     * Returns the chance that an attempt is still running after a further time.
+     * Returns the probability that an attempt is still running after a further time.
      *
-     * @param expectedMillis how long it was expected to run in all
-     * @param elapsedMillis how long it has run
-     * @param furtherMillis how much longer
+     * @param expectedMillis expected total time
+     * @param elapsedMillis time for which it has run
+     * @param furtherMillis further time
      */
     double survival(long expectedMillis, long elapsedMillis, long furtherMillis) {
         if (furtherMillis <= 0) {
@@ -56,7 +56,7 @@
 
     private double longerThan(double ratio) {
         if (mStale) {
-            sum();
+            recompute();
         }
         double position = Math.min(BINS, ratio * BINS_PER_UNIT);
         int bin = (int) Math.min(BINS - 1, position);
@@ -64,7 +64,7 @@
         return mLongerThanBin[bin] * (1 - part) + mLongerThanBin[bin + 1] * part;
     }
 
-    private void sum() {
+    private void recompute() {
         double samples = 0;
         mLongerThanBin[BINS] = prior(BINS);
         for (int bin = BINS - 1; bin >= 0; bin--) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/LedgerSettings.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/LedgerSettings.java
@@ -3,13 +3,14 @@
 /**
  * Settings of a {@link GrantLedger}.
  *
- * @param startGraceMillis how long after its start a promise may stay unseen on the engine
- * @param overdueMillis how much longer a prefill past its expected end is expected to take
+ * @param startGraceMillis time after its start within which a promise must be observed on the
+ *     engine
+ * @param overdueMillis expected further time of a prefill that is past its expected end
  * @param safetyDeviations standard deviations of the expected use of a decode engine that a promise
- *     leaves room for while slots are scarce
- * @param unknownHoldMillis expected rest of an attempt that only the engine's list tells of
- * @param recoveryReserve share of the slots kept free for unknown promises while recovering
- * @param maxEndedAttempts ended attempts that are remembered
+ *     leaves free while slots are scarce
+ * @param unknownHoldMillis expected remaining time of an attempt known only from the engine's list
+ * @param recoveryReserve share of the slots left free for unknown promises during recovery
+ * @param maxEndedAttempts maximum number of ended attempts that are remembered
  */
 public record LedgerSettings(
         long startGraceMillis,
@@ -19,7 +20,7 @@
         double recoveryReserve,
         int maxEndedAttempts) {
 
-    /** Values for engines that report about once a second. */
+    /** Defaults for engines that report about once a second. */
     public static final LedgerSettings DEFAULTS =
             new LedgerSettings(1_500, 50, 1, 1_000, 0.25, 1_024);
 
@@ -35,12 +36,12 @@
                             + overdueMillis
                             + ", unknown hold "
                             + unknownHoldMillis
-                            + ", ended kept "
+                            + ", ended attempts "
                             + maxEndedAttempts);
         }
         if (safetyDeviations < 0) {
             throw new IllegalArgumentException(
-                    "deviations " + safetyDeviations + " must not be negative");
+                    "safety deviations " + safetyDeviations + " must not be negative");
         }
         if (recoveryReserve < 0 || recoveryReserve > 1) {
             throw new IllegalArgumentException(
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/Occupancy.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/Occupancy.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.routing.grant;
 
-/** Slots and memory pieces expected to be in use at one instant, with their variance. */
+/** Expected slots and KV cache blocks in use at one time, with their variance. */
 final class Occupancy {
 
-    /** A server with one slot would else never be promised before it is free. */
+    /** Without this tolerance a server with one slot would never be promised before it is free. */
     private static final double TOLERATED_SLOTS = 0.25;
 
     private static final double TOLERATED_SHARE = 0.01;
@@ -13,7 +13,7 @@
     private double mPieces;
     private double mPieceVariance;
 
-    /** Adds an attempt that holds its room with a probability. */
+    /** Adds an attempt that holds its reservation with the given probability. */
     void add(double probability, int pieces) {
         double variance = probability * (1 - probability);
         mSlots += probability;
@@ -30,8 +30,11 @@
         return mPieces;
     }
 
-    /** Returns whether it stays within limits even some standard deviations above the mean. */
-    boolean within(int maxSlots, int maxPieces, double deviations) {
+    /**
+     * Returns whether the use stays within the limits even at some standard deviations above the
+     * mean.
+     */
+    boolean fitsWithin(int maxSlots, int maxPieces, double deviations) {
         return mSlots + deviations * Math.sqrt(mSlotVariance) <= maxSlots + TOLERATED_SLOTS
                 && mPieces + deviations * Math.sqrt(mPieceVariance)
                         <= (double) maxPieces * (1 + TOLERATED_SHARE);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
@@ -12,11 +12,11 @@
 import org.cyclamenpaddle.routing.schedule.UsageProfile;
 
 /**
- * Serial compute, then a transfer over a serial link: prefill engines.
+ * Capacity plan of a prefill engine: serial compute, then a transfer over a serial link.
  *
- * <p>A result holds its memory pieces from the start of its prefill to the end of its transfer.
+ * <p>A result holds its KV cache blocks from the start of its prefill to the end of its transfer.
  */
-final class QueuePlan implements RoomPlan {
+final class PrefillPlan implements CapacityPlan {
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -25,7 +25,7 @@
     private final SerialSchedule<AttemptId> mCompute = new SerialSchedule<>();
     private final LinkBudget mLink;
 
-    QueuePlan(BackendSpec spec, LedgerSettings settings) {
+    PrefillPlan(BackendSpec spec, LedgerSettings settings) {
         mSpec = spec;
         mSettings = settings;
         mLink = new LinkBudget(spec.linkBytesPerSecond());
@@ -34,24 +34,24 @@
     @Override
     public Interval preview(
             GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
-        UsageProfile memory = memory(held, nowMillis);
+        UsageProfile memory = memoryProfile(held, nowMillis);
         long work = computeMillis(ask.tokens());
         long from = nowMillis + Math.max(0, ask.neededInMillis()) + backlogMillis(held, nowMillis);
         while (true) {
             long start = mCompute.earliest(from, work);
             long end = mLink.preview(start + work, ask.transferBytes()).endMillis();
-            long room =
+            long memoryFreeAt =
                     memory.earliest(
                             start, end - start, ask.pieces(), Integer.MAX_VALUE, pieceLimit());
-            if (room <= start) {
+            if (memoryFreeAt <= start) {
                 return new Interval(start, end);
             }
-            from = room;
+            from = memoryFreeAt;
         }
     }
 
     @Override
-    public void take(GrantAsk ask, Interval span) {
+    public void reserve(GrantAsk ask, Interval span) {
         long work = computeMillis(ask.tokens());
         mCompute.reserve(ask.attempt(), span.startMillis(), work);
         mLink.reserve(ask.attempt(), span.startMillis() + work, ask.transferBytes());
@@ -65,22 +65,22 @@
 
     @Override
     public void ended(Reservation reservation, long nowMillis) {
-        // The room of a prefill is bounded by its computed times alone.
+        // Prefill reservations are bounded by their computed times alone.
     }
 
     @Override
     public void limitSlots(int most) {
-        // Prefill is serial; its slots are no batch.
+        // Prefill is serial, so slots do not limit it.
     }
 
-    /** A result that is across only after it was needed is as useless as one that starts late. */
+    /** A result that arrives after it was needed is as useless as one that starts late. */
     @Override
     public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
         return span.endMillis() - nowMillis > ask.latestInMillis();
     }
 
     @Override
-    public void requireRoom(Collection<Reservation> held, Interval span, long nowMillis) {
+    public void requireCapacity(Collection<Reservation> held, Interval span, long nowMillis) {
         UsageProfile window = new UsageProfile();
         for (Reservation reservation : held) {
             window.add(
@@ -99,15 +99,19 @@
         long queue = mCompute.endOfLast(nowMillis) - nowMillis + backlogMillis(held, nowMillis);
         int freeSlots = Math.max(0, mSpec.slots() - reservedSlots - held.size());
         int freePieces =
-                Math.max(0, mSpec.memoryPieces() - memory(held, nowMillis).peakPieces(nowMillis));
+                Math.max(
+                        0,
+                        mSpec.memoryPieces()
+                                - memoryProfile(held, nowMillis).peakPieces(nowMillis));
         return new LedgerSummary(mSpec.id(), queue, freeSlots, freePieces, true);
     }
 
     /**
      * Returns how far the engine is behind its schedule.
      *
-     * <p>Safeguard: a slow engine's queue would else look empty as soon as the promised times have
-     * passed, and every host would send it more. Each overdue result adds its step.
+     * <p>Safeguard: the queue of a slow engine would otherwise appear empty as soon as the promised
+     * times have passed, and every host would send it more requests. Each overdue result adds the
+     * overdue time.
      */
     private long backlogMillis(Collection<Reservation> held, long nowMillis) {
         long overdue =
@@ -115,7 +119,7 @@
         return overdue * mSettings.overdueMillis();
     }
 
-    private UsageProfile memory(Collection<Reservation> held, long nowMillis) {
+    private UsageProfile memoryProfile(Collection<Reservation> held, long nowMillis) {
         UsageProfile profile = new UsageProfile();
         for (Reservation reservation : held) {
             long end = expectedEnd(reservation, nowMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/Reservation.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/Reservation.java
@@ -3,30 +3,32 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * Room that an attempt holds or is promised.
+ * Capacity that an attempt holds or is promised.
  *
  * @param attempt the attempt
- * @param pieces memory pieces
- * @param startMillis from when on
+ * @param pieces KV cache blocks
+ * @param startMillis start
  * @param endMillis expected end
- * @param seen whether the engine's own list has shown it
+ * @param observed whether the engine's own list has contained the attempt
  */
-record Reservation(AttemptId attempt, int pieces, long startMillis, long endMillis, boolean seen) {
+record Reservation(
+        AttemptId attempt, int pieces, long startMillis, long endMillis, boolean observed) {
 
-    Reservation observed(int seenPieces) {
-        return new Reservation(attempt, Math.max(pieces, seenPieces), startMillis, endMillis, true);
+    Reservation withObservation(int observedPieces) {
+        return new Reservation(
+                attempt, Math.max(pieces, observedPieces), startMillis, endMillis, true);
     }
 
-    boolean begun(long nowMillis) {
-        return seen || startMillis <= nowMillis;
+    boolean started(long nowMillis) {
+        return observed || startMillis <= nowMillis;
     }
 
     /**
      * Returns the expected end as of now.
      *
-     * <p>Safeguard: an attempt that runs longer than predicted would else be counted as gone, its
-     * slot promised again, and the second request refused by the full engine after its prefill. It
-     * counts as held until it is known to have ended.
+     * <p>Safeguard: an attempt that runs longer than predicted would otherwise count as ended, its
+     * slot would be promised again, and the full engine would reject the second request after its
+     * prefill. It counts as running until it is known to have ended.
      */
     long expectedEnd(long nowMillis, long overdueMillis) {
         return Math.max(endMillis, nowMillis + overdueMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
@@ -10,74 +10,74 @@
 import org.cyclamenpaddle.routing.schedule.Interval;
 
 /**
- * Timed slots and memory pieces: decode engines and plain services.
+ * Capacity plan of decode engines and plain services: timed slots and KV cache blocks.
  *
- * <p>A slot is promised from the first instant at which the slots expected to be in use, and while
- * slots are scarce some standard deviations more, leave one free.
+ * <p>A slot is promised from the first time at which the expected slots in use, plus some standard
+ * deviations while slots are scarce, leave one free.
  */
-final class SlotPlan implements RoomPlan {
+final class SlotPlan implements CapacityPlan {
 
     private static final long HORIZON_MILLIS = 60_000;
 
-    private record Wanted(int pieces, long holdMillis, int slotLimit) {}
+    private record Demand(int pieces, long holdMillis, int slotLimit) {}
 
     private final BackendSpec mSpec;
-    private final HoldCurve mCurve = new HoldCurve();
-    private final Caution mCaution;
+    private final HoldTimeDistribution mHoldTimes = new HoldTimeDistribution();
+    private final SafetyMargin mSafetyMargin;
 
-    private int mMostSlots = Integer.MAX_VALUE;
+    private int mMaxSlots = Integer.MAX_VALUE;
 
     SlotPlan(BackendSpec spec, LedgerSettings settings) {
         mSpec = spec;
-        mCaution = new Caution(settings.safetyDeviations());
+        mSafetyMargin = new SafetyMargin(settings.safetyDeviations());
     }
 
     @Override
     public Interval preview(
             GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         long needed = nowMillis + Math.max(0, ask.neededInMillis());
-        Wanted wanted = new Wanted(ask.pieces(), ask.holdMillis(), slotLimit(reservedSlots));
-        long start = earliest(wanted, held, needed, nowMillis);
+        Demand demand = new Demand(ask.pieces(), ask.holdMillis(), slotLimit(reservedSlots));
+        long start = earliest(demand, held, needed, nowMillis);
         return new Interval(start, start + ask.holdMillis());
     }
 
     @Override
-    public void take(GrantAsk ask, Interval span) {
-        // The reservation itself, kept by the ledger, is all that is taken.
+    public void reserve(GrantAsk ask, Interval span) {
+        // The reservation in the ledger is all that is needed.
     }
 
     @Override
     public void release(AttemptId attempt) {
-        // Nothing was taken beside the reservation.
+        // Nothing is held beside the reservation.
     }
 
     @Override
     public void ended(Reservation reservation, long nowMillis) {
-        mCurve.ended(
+        mHoldTimes.record(
                 reservation.endMillis() - reservation.startMillis(),
                 nowMillis - reservation.startMillis());
     }
 
     @Override
-    public void limitSlots(int most) {
-        mMostSlots = most;
+    public void limitSlots(int maxSlots) {
+        mMaxSlots = maxSlots;
     }
 
     @Override
     public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
         boolean late = span.startMillis() - nowMillis > ask.latestInMillis();
         if (ask.latestInMillis() > 0) {
-            // Asks for a slot at this very instant are those of late promises, and tell nothing.
-            mCaution.decided(late);
+            // Requests for a slot right now come from late promises and do not indicate scarcity.
+            mSafetyMargin.recordDecision(late);
         }
         return late;
     }
 
     @Override
-    public void requireRoom(Collection<Reservation> held, Interval span, long nowMillis) {
+    public void requireCapacity(Collection<Reservation> held, Interval span, long nowMillis) {
         Occupancy occupancy = occupancy(held, span.startMillis(), nowMillis);
         Invariants.require(
-                occupancy.within(mSpec.slots(), pieceLimit(), 0),
+                occupancy.fitsWithin(mSpec.slots(), pieceLimit(), 0),
                 () ->
                         occupancy.slots()
                                 + " slots and "
@@ -90,7 +90,7 @@
     public LedgerSummary summary(Collection<Reservation> held, int reservedSlots, long nowMillis) {
         int pieces = held.stream().mapToInt(Reservation::pieces).sum();
         int slots = slotLimit(reservedSlots);
-        Wanted one = new Wanted(1, 1, slots);
+        Demand one = new Demand(1, 1, slots);
         long freeIn = earliest(one, held, nowMillis, nowMillis) - nowMillis;
         return new LedgerSummary(
                 mSpec.id(),
@@ -101,11 +101,12 @@
     }
 
     /**
-     * Between two promised starts room only grows, so the first instant with room is found by
-     * halving; a later begin there would only leave less room to the promises that follow.
+     * Between two promised starts free capacity only grows, so the first time with enough capacity
+     * is found by bisection; a later start there would only leave less capacity for the promises
+     * that follow.
      */
     private long earliest(
-            Wanted wanted, Collection<Reservation> held, long fromMillis, long nowMillis) {
+            Demand demand, Collection<Reservation> held, long fromMillis, long nowMillis) {
         List<Long> starts =
                 held.stream()
                         .map(Reservation::startMillis)
@@ -115,27 +116,29 @@
                         .toList();
         long begin = fromMillis;
         for (long next : starts) {
-            if (fitsAt(wanted, held, next - 1, 0, nowMillis)) {
-                Interval stretch = new Interval(begin, next - 1);
-                long first = firstRoom(wanted, held, stretch, nowMillis);
-                if (leavesRoomLater(wanted, held, first, nowMillis)) {
+            if (fitsAt(demand, held, next - 1, 0, nowMillis)) {
+                Interval gap = new Interval(begin, next - 1);
+                long first = firstFit(demand, held, gap, nowMillis);
+                if (leavesCapacityForLater(demand, held, first, nowMillis)) {
                     return first;
                 }
             }
             begin = next;
         }
         Interval rest = new Interval(begin, begin + HORIZON_MILLIS);
-        return firstRoom(wanted, held, rest, nowMillis);
+        return firstFit(demand, held, rest, nowMillis);
     }
 
-    /** Returns the first instant of a stretch with room, its end taken to have room. */
-    private long firstRoom(
-            Wanted wanted, Collection<Reservation> held, Interval stretch, long nowMillis) {
-        long low = stretch.startMillis();
-        long high = stretch.endMillis();
+    /**
+     * Returns the first time in a gap with enough capacity, assuming there is enough at its end.
+     */
+    private long firstFit(
+            Demand demand, Collection<Reservation> held, Interval gap, long nowMillis) {
+        long low = gap.startMillis();
+        long high = gap.endMillis();
         while (low < high) {
             long middle = low + (high - low) / 2;
-            if (fitsAt(wanted, held, middle, 0, nowMillis)) {
+            if (fitsAt(demand, held, middle, 0, nowMillis)) {
                 high = middle;
             } else {
                 low = middle + 1;
@@ -144,50 +147,52 @@
         return low;
     }
 
-    private boolean leavesRoomLater(
-            Wanted wanted, Collection<Reservation> held, long beginMillis, long nowMillis) {
+    private boolean leavesCapacityForLater(
+            Demand demand, Collection<Reservation> held, long beginMillis, long nowMillis) {
         return held.stream()
                 .mapToLong(Reservation::startMillis)
                 .filter(start -> start > beginMillis)
-                .allMatch(start -> fitsAt(wanted, held, start, start - beginMillis, nowMillis));
+                .allMatch(start -> fitsAt(demand, held, start, start - beginMillis, nowMillis));
     }
 
     private boolean fitsAt(
-            Wanted wanted,
+            Demand demand,
             Collection<Reservation> held,
             long atMillis,
             long elapsedMillis,
             long nowMillis) {
         Occupancy occupancy = occupancy(held, atMillis, nowMillis);
-        double running = mCurve.survival(wanted.holdMillis(), 0, elapsedMillis);
-        occupancy.add(running, wanted.pieces());
-        return occupancy.within(wanted.slotLimit(), pieceLimit(), mCaution.deviations());
+        double running = mHoldTimes.survival(demand.holdMillis(), 0, elapsedMillis);
+        occupancy.add(running, demand.pieces());
+        return occupancy.fitsWithin(demand.slotLimit(), pieceLimit(), mSafetyMargin.deviations());
     }
 
     private Occupancy occupancy(Collection<Reservation> held, long atMillis, long nowMillis) {
         Occupancy occupancy = new Occupancy();
         for (Reservation reservation : held) {
-            if (reservation.begun(atMillis)) {
-                occupancy.add(chanceHeld(reservation, atMillis, nowMillis), reservation.pieces());
+            if (reservation.started(atMillis)) {
+                occupancy.add(
+                        heldProbability(reservation, atMillis, nowMillis), reservation.pieces());
             }
         }
         return occupancy;
     }
 
     /**
-     * Safeguard: an attempt that runs longer than expected would else be counted as gone, its slot
-     * promised again, and the second request refused by the full engine after its prefill. Until it
-     * is known to have ended it counts as held now, and with a falling chance later.
+     * Safeguard: an attempt that runs longer than expected would otherwise count as ended, its slot
+     * would be promised again, and the full engine would reject the second request after its
+     * prefill. Until it is known to have ended it counts as running now, and with decreasing
+     * probability later.
      */
-    private double chanceHeld(Reservation reservation, long atMillis, long nowMillis) {
+    private double heldProbability(Reservation reservation, long atMillis, long nowMillis) {
         long expected = reservation.endMillis() - reservation.startMillis();
         long elapsed = Math.max(0, nowMillis - reservation.startMillis());
         long from = Math.max(nowMillis, reservation.startMillis());
-        return mCurve.survival(expected, elapsed, atMillis - from);
+        return mHoldTimes.survival(expected, elapsed, atMillis - from);
     }
 
     private int slotLimit(int reservedSlots) {
-        return Math.max(1, Math.min(mMostSlots, mSpec.slots()) - reservedSlots);
+        return Math.max(1, Math.min(mMaxSlots, mSpec.slots()) - reservedSlots);
     }
 
     private int pieceLimit() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/package-info.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/package-info.java
@@ -1,2 +1,2 @@
-/** The ledger of grants of one backend server, kept by the host that owns it. */
+/** Ledger of the grants of one backend server, maintained by the host that owns it. */
 package org.cyclamenpaddle.routing.grant;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -12,13 +12,14 @@
 import org.cyclamenpaddle.core.message.StrikeNotice;
 
 /**
- * Remembers which requests were on backend servers when those died.
+ * Tracks which requests were running on backend servers that crashed, and quarantines those that
+ * crash them.
  *
  * <p>Safeguard: a request that crashes each server that runs it, and is sent again by its caller,
- * would take the pool down one server after the other. A strike alone proves nothing, for twenty
- * requests are struck when one server dies. So a struck request runs on no server that died with it
- * and beside no other struck request: the next crash then names one culprit, and its second strike
- * keeps it off every server. Not thread-safe.
+ * would take down the pool one server after the other. A single strike proves nothing, since twenty
+ * requests get one when one server crashes. So a request with a strike runs on no server that
+ * crashed with it and beside no other request with a strike: the next crash then identifies one
+ * culprit, and its second strike excludes it from all servers. Not thread-safe.
  */
 public final class Quarantine {
 
@@ -31,7 +32,7 @@
         }
     }
 
-    private static final Comparator<Map.Entry<Long, Strikes>> LEAST_TELLING_FIRST =
+    private static final Comparator<Map.Entry<Long, Strikes>> EVICTION_ORDER =
             Comparator.comparingInt(
                             (Map.Entry<Long, Strikes> entry) -> entry.getValue().struck().size())
                     .thenComparingLong(entry -> entry.getValue().untilMillis())
@@ -42,9 +43,9 @@
     private final Map<BackendId, Map<Long, Integer>> mRunning = new HashMap<>();
 
     /**
-     * Creates a quarantine with no strikes.
+     * Creates a quarantine without strikes.
      *
-     * @param settings bounds
+     * @param settings limits
      */
     public Quarantine(QuarantineSettings settings) {
         mSettings = settings;
@@ -62,7 +63,7 @@
     }
 
     /**
-     * Counts a request as running on a backend server no more.
+     * Stops counting a request as running on a backend server.
      *
      * @param fingerprint hash of service and prompt
      * @param backend the backend server
@@ -77,26 +78,26 @@
                 });
     }
 
-    /** Returns the fingerprints that this host runs on a backend server. */
+    /** Returns the fingerprints of this host's requests that run on a backend server. */
     public Set<Long> runningOn(BackendId backend) {
         return Set.copyOf(mRunning.getOrDefault(backend, Map.of()).keySet());
     }
 
     /**
-     * Strikes the requests that were on a backend server when it died.
+     * Records a strike for the requests that were on a backend server when it crashed.
      *
      * @param backend the backend server
-     * @param fingerprints requests that were on it
-     * @param nowMillis reading of the clock
-     * @return what peers must be told
+     * @param fingerprints requests that were running on it
+     * @param nowMillis current clock reading
+     * @return notices to send to peers
      */
     public List<StrikeNotice> onBackendDied(
             BackendId backend, Collection<Long> fingerprints, long nowMillis) {
-        forgetExpired(nowMillis);
+        removeExpired(nowMillis);
         Set<Long> distinct = new HashSet<>(fingerprints);
         long until = nowMillis + mSettings.retentionMillis();
         distinct.forEach(fingerprint -> strike(fingerprint, Set.of(backend), until));
-        bound();
+        evictExcess();
         return distinct.stream()
                 .sorted()
                 .flatMap(fingerprint -> notice(fingerprint, nowMillis).stream())
@@ -104,19 +105,19 @@
     }
 
     /**
-     * Takes in what a peer knows; commutative and idempotent.
+     * Merges a notice of a peer; commutative and idempotent.
      *
-     * @param notice from a peer
-     * @param nowMillis reading of the clock
+     * @param notice notice of a peer
+     * @param nowMillis current clock reading
      */
     public void merge(StrikeNotice notice, long nowMillis) {
-        forgetExpired(nowMillis);
+        removeExpired(nowMillis);
         if (notice.remainingMillis() <= 0 || notice.struck().isEmpty()) {
             return;
         }
         long remaining = Math.min(notice.remainingMillis(), mSettings.retentionMillis());
         strike(notice.fingerprint(), notice.struck(), nowMillis + remaining);
-        bound();
+        evictExcess();
     }
 
     /**
@@ -124,32 +125,35 @@
      *
      * @param fingerprint hash of service and prompt
      * @param backend the backend server
-     * @param nowMillis reading of the clock
+     * @param nowMillis current clock reading
      */
     public Verdict mayRun(long fingerprint, BackendId backend, long nowMillis) {
         Optional<Strikes> strikes = strikes(fingerprint, nowMillis);
         if (strikes.isEmpty()) {
             return Verdict.MAY_RUN;
         }
-        if (enough(strikes.get())) {
+        if (reachesLimit(strikes.get())) {
             return Verdict.QUARANTINED;
         }
-        boolean diedThere = strikes.get().struck().contains(backend);
+        boolean crashedThere = strikes.get().struck().contains(backend);
         boolean otherStruck =
                 mRunning.getOrDefault(backend, Map.of()).keySet().stream()
                         .filter(other -> other != fingerprint)
                         .anyMatch(other -> strikes(other, nowMillis).isPresent());
-        return diedThere || otherStruck ? Verdict.OTHER_BACKEND : Verdict.MAY_RUN;
+        return crashedThere || otherStruck ? Verdict.OTHER_BACKEND : Verdict.MAY_RUN;
     }
 
-    /** Returns how long a request stays quarantined, in milliseconds; empty if it is not. */
+    /**
+     * Returns the remaining quarantine of a request, in milliseconds; empty if it is not
+     * quarantined.
+     */
     public Optional<Long> quarantinedMillis(long fingerprint, long nowMillis) {
         return strikes(fingerprint, nowMillis)
-                .filter(this::enough)
+                .filter(this::reachesLimit)
                 .map(strikes -> strikes.untilMillis() - nowMillis);
     }
 
-    /** Returns everything that peers should know, for a host that has just started. */
+    /** Returns notices of all strikes, for a host that has just started. */
     public List<StrikeNotice> notices(long nowMillis) {
         return mStrikes.keySet().stream()
                 .sorted()
@@ -172,7 +176,7 @@
                 .filter(strikes -> strikes.untilMillis() > nowMillis);
     }
 
-    private boolean enough(Strikes strikes) {
+    private boolean reachesLimit(Strikes strikes) {
         return strikes.struck().size() >= mSettings.strikesToQuarantine();
     }
 
@@ -181,14 +185,14 @@
         mStrikes.merge(fingerprint, fresh, (old, more) -> old.plus(struck, untilMillis));
     }
 
-    private void forgetExpired(long nowMillis) {
+    private void removeExpired(long nowMillis) {
         mStrikes.values().removeIf(strikes -> strikes.untilMillis() <= nowMillis);
     }
 
-    private void bound() {
+    private void evictExcess() {
         while (mStrikes.size() > mSettings.maxFingerprints()) {
             mStrikes.entrySet().stream()
-                    .min(LEAST_TELLING_FIRST)
+                    .min(EVICTION_ORDER)
                     .map(Map.Entry::getKey)
                     .ifPresent(mStrikes::remove);
         }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/QuarantineSettings.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/QuarantineSettings.java
@@ -3,9 +3,10 @@
 /**
  * Settings of {@link Quarantine}.
  *
- * @param strikesToQuarantine distinct backend servers that must have died with a request
- * @param retentionMillis how long strikes count after the last one
- * @param maxFingerprints struck requests that are remembered
+ * @param strikesToQuarantine number of distinct backend servers that must have crashed with a
+ *     request
+ * @param retentionMillis time for which strikes count after the last one
+ * @param maxFingerprints maximum number of requests with strikes that are tracked
  */
 public record QuarantineSettings(
         int strikesToQuarantine, long retentionMillis, int maxFingerprints) {
@@ -18,7 +19,7 @@
             throw new IllegalArgumentException(
                     "quarantine settings must be above 0: strikes "
                             + strikesToQuarantine
-                            + ", keep "
+                            + ", retention "
                             + retentionMillis
                             + " ms, fingerprints "
                             + maxFingerprints);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Verdict.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Verdict.java
@@ -1,11 +1,14 @@
 package org.cyclamenpaddle.routing.quarantine;
 
-/** Whether a request may run on a backend server. */
+/** Decision whether a request may run on a backend server. */
 public enum Verdict {
-    /** It may. */
+    /** The request may run there. */
     MAY_RUN,
-    /** Not there: the server died with it before, or runs another struck request. */
+    /**
+     * Not on this server, which crashed with the request before or runs another request with a
+     * strike.
+     */
     OTHER_BACKEND,
-    /** Nowhere, until its strikes have expired. */
+    /** On no server until its strikes have expired. */
     QUARANTINED
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
@@ -61,12 +61,12 @@
                 false);
     }
 
-    public static GrantAsk decodeAsk(long attempt, long needed, long latest, long hold) {
+    public static GrantAsk decodeGrantRequest(long attempt, long needed, long latest, long hold) {
         return new GrantAsk(
                 attempt(attempt), id(1), BackendRole.DECODE, 0, 1, 0, needed, latest, hold);
     }
 
-    public static GrantAsk prefillAsk(long attempt, int tokens, long bytes, long latest) {
+    public static GrantAsk prefillGrantRequest(long attempt, int tokens, long bytes, long latest) {
         return new GrantAsk(
                 attempt(attempt), id(1), BackendRole.PREFILL, tokens, 1, bytes, 0, latest, 0);
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.routing.grant;
 
-import static org.cyclamenpaddle.routing.Fixtures.decodeAsk;
+import static org.cyclamenpaddle.routing.Fixtures.decodeGrantRequest;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Random asks, repeats, late ends, lost ends, engine lists and changes of owner, over a full engine
- * whose attempts run for random times.
+ * Random grant requests, repeats, late and lost releases, engine lists and changes of owner, over a
+ * full engine whose attempts run for random times.
  */
 public class GrantLedgerRandomTest {
 
@@ -60,7 +60,7 @@
             mClock.advance(mRandom.nextInt(20));
             endRunning();
             startDue();
-            ask(step);
+            requestGrant(step);
             if (step % 100 == 0) {
                 mLedger.observe(engineList(), now());
             }
@@ -73,13 +73,13 @@
         assertTrue(mLateStarts < mStarts / 4, mLateStarts + " late of " + mStarts);
     }
 
-    private void ask(int number) {
-        GrantAsk ask = decodeAsk(number, mRandom.nextInt(150), LATEST, 1_000);
+    private void requestGrant(int number) {
+        GrantAsk ask = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
         GrantAnswer answer = mLedger.request(ask, now());
         GrantAnswer again = mLedger.request(ask, now());
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (granted) {
-            assertEquals(again, answer, "asked twice");
+            assertEquals(again, answer, "requested twice");
         } else {
             assertEquals(again.decision(), answer.decision(), "refused twice");
             assertTrue(again.startInMillis() >= answer.startInMillis(), "refused " + again);
@@ -110,7 +110,7 @@
             } else if (now() - ask.neededInMillis() > LATEST) {
                 mGranted.remove(ask.attempt());
                 mLateStarts++;
-                end(ask.attempt());
+                release(ask.attempt());
             }
         }
     }
@@ -122,16 +122,16 @@
             mEndsAt.remove(attempt);
             boolean lost = mRandom.nextInt(50) == 0;
             if (!lost) {
-                end(attempt);
+                release(attempt);
             }
         }
     }
 
-    private void end(AttemptId attempt) {
+    private void release(AttemptId attempt) {
         mLedger.release(attempt, now());
         mEnded.add(attempt);
         assertEquals(
-                mLedger.request(again(attempt), now()).decision(),
+                mLedger.request(repeated(attempt), now()).decision(),
                 GrantDecision.UNAVAILABLE,
                 "ended");
     }
@@ -140,7 +140,7 @@
         mLedger = newLedger();
         mLedger.recoverUntil(now() + 500);
         assertEquals(
-                mLedger.request(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
+                mLedger.request(decodeGrantRequest(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
         for (GrantAsk ask : new ArrayList<>(mGranted.values())) {
@@ -175,7 +175,7 @@
                 .toList();
     }
 
-    private GrantAsk again(AttemptId attempt) {
+    private GrantAsk repeated(AttemptId attempt) {
         return new GrantAsk(attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
@@ -29,16 +29,16 @@
     }
 
     /**
-     * One caller is refused, everyone else is served. A request crashes each server that runs it
-     * and is sent again and again among hundreds of others, some of them resends of those that were
-     * on the crashed servers. A second crash must be the last one.
+     * A request crashes each server that runs it and is sent again and again among hundreds of
+     * others, some of them sent again after running on the crashed servers. The second crash must
+     * be the last one, and only the culprit may be refused.
      */
     @Test(dataProvider = "seeds")
     public void culpritCrashesTwoServersAndNobodyElseIsRefused(long seed) {
         UniformRandomProvider random = Fixtures.random(seed);
         Quarantine quarantine = new Quarantine(new QuarantineSettings(2, 10_000_000, 500));
         Quarantine peer = new Quarantine(new QuarantineSettings(2, 10_000_000, 500));
-        List<StrikeNotice> told = new ArrayList<>();
+        List<StrikeNotice> notices = new ArrayList<>();
         List<Run> running = new ArrayList<>();
         int crashes = 0;
         for (int step = 0; step < 5_000; step++) {
@@ -54,15 +54,15 @@
             if (fingerprint == CULPRIT) {
                 crashes++;
                 Set<Long> victims = quarantine.runningOn(server);
-                told.addAll(quarantine.onBackendDied(server, victims, 0));
+                notices.addAll(quarantine.onBackendDied(server, victims, 0));
                 running.removeIf(run -> ends(quarantine, run, run.server().equals(server)));
             }
             running.removeIf(run -> ends(quarantine, run, random.nextInt(30) == 0));
         }
         assertEquals(crashes, 2);
 
-        List<StrikeNotice> shuffled = new ArrayList<>(told);
-        shuffled.addAll(told);
+        List<StrikeNotice> shuffled = new ArrayList<>(notices);
+        shuffled.addAll(notices);
         Collections.shuffle(shuffled, new Random(seed));
         shuffled.forEach(notice -> peer.merge(notice, 0));
         assertEquals(peer.notices(0), quarantine.notices(0));
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineTest.java
@@ -19,9 +19,9 @@
     private static final long BYSTANDER = 14;
 
     /**
-     * Only the culprit's caller is refused. A server dies with two requests on it; both are sent
-     * again and run on different servers, and the culprit kills its second one. If both had run
-     * there together, the bystander would be quarantined too.
+     * A server crashes with two requests on it; both are sent again and run on different servers,
+     * and the culprit crashes its second one. Only the culprit must be quarantined: had both run
+     * there together, the other request would be quarantined too.
      */
     @Test
     public void secondCrashNamesOneCulprit() {
