--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -36,7 +36,10 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Time of ranking all runners as one service, and of an ask at a full ledger among many. */
+/**
+ * Measures the time to rank all engines as one service, and to request a grant from a full ledger
+ * among many.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -58,7 +61,7 @@
     private PlacementRequest mRequest;
     private long mNumber;
 
-    /** Fills every ledger, and half as many promises again. */
+    /** Fills every ledger and adds half as many promises. */
     @Setup
     public void fill() {
         List<BackendView> views = new ArrayList<>();
@@ -85,7 +88,7 @@
                         580);
     }
 
-    /** Ranks prefill, then decode. */
+    /** Ranks prefill servers, then decode servers. */
     @Benchmark
     public List<Candidate> rank() {
         PlacementPolicy policy = PlacementPolicy.TIMED_GRANTS;
@@ -93,7 +96,7 @@
         return policy.rankDecode(mRequest, mView, mRandom, prefill.get(0).predictedMillis());
     }
 
-    /** Asks the next ledger in turn, and gives back what it granted. */
+    /** Requests a grant from the next ledger in turn and releases it. */
     @Benchmark
     public GrantAnswer ask() {
         int turn = (int) (mNumber % mRunners);
--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/package-info.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks of the decisions on the path of each request. */
+/** JMH benchmarks of the decisions made for each request. */
 package org.cyclamenpaddle.routing.benchmark;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Cluster.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Cluster.java
@@ -22,14 +22,14 @@
 import org.cyclamenpaddle.routing.placement.PlacementView;
 import org.cyclamenpaddle.routing.placement.PrefixIndex;
 
-/** The engines of the model, the ledgers over them, and what hosts know of both. */
+/** The model's engines, their ledgers, and the hosts' view of both. */
 final class Cluster {
 
     static final FailureDomain DOMAIN = new FailureDomain("model");
 
     private static final long LOAD_LAG_MILLIS = 200;
     private static final long OBSERVE_MILLIS = 1_000;
-    private static final long CACHE_EVENT_MILLIS = 300;
+    private static final long CACHE_EVENT_LAG_MILLIS = 300;
     private static final double CACHE_EVENT_LOSS = 0.05;
     private static final int INDEX_BLOCKS = 512;
     private static final int MEMORY_PIECES = 400;
@@ -44,10 +44,10 @@
     private final Map<BackendId, Long> mSequences = new HashMap<>();
     private final PrefixIndex mPrefixes = new PrefixIndex(INDEX_BLOCKS);
 
-    private final TokenIntervalModel mPace = new TokenIntervalModel();
+    private final TokenIntervalModel mTokenIntervals = new TokenIntervalModel();
 
     private Map<BackendId, LedgerSummary> mHints = Map.of();
-    private long mHintsAt;
+    private long mHintsAtMillis;
 
     Cluster(Scenario scenario, EventLoop loop) {
         mScenario = scenario;
@@ -62,7 +62,7 @@
         if (scenario.strategy() == Strategy.SPLIT_SLOTS) {
             splitSlots();
         }
-        loop.every(scenario.hintMillis(), this::tellHints);
+        loop.every(scenario.hintMillis(), this::publishHints);
         loop.every(OBSERVE_MILLIS, this::observe);
     }
 
@@ -85,18 +85,18 @@
 
     PlacementView view(int host, long turn) {
         List<BackendView> prefill = new ArrayList<>();
-        mPrefill.values().forEach(server -> prefill.add(hinted(server.spec())));
+        mPrefill.values().forEach(server -> prefill.add(hintedView(server.spec())));
         List<BackendView> decode = new ArrayList<>();
         if (mShares.isEmpty()) {
-            mDecode.values().forEach(server -> decode.add(hinted(server.spec())));
+            mDecode.values().forEach(server -> decode.add(hintedView(server.spec())));
         } else {
-            mShares.get(host).forEach((id, share) -> decode.add(own(id, share)));
+            mShares.get(host).forEach((id, share) -> decode.add(shareView(id, share)));
         }
         return new PlacementView(prefill, decode, mPrefixes, CostFactors.NEUTRAL, turn);
     }
 
-    TokenIntervalModel pace() {
-        return mPace;
+    TokenIntervalModel tokenIntervals() {
+        return mTokenIntervals;
     }
 
     double wastedShare() {
@@ -145,17 +145,18 @@
         }
     }
 
-    private void tellHints() {
+    private void publishHints() {
         boolean owners = mScenario.strategy().usesOwners();
-        Map<BackendId, LedgerSummary> told = new HashMap<>();
-        mPrefill.forEach((id, server) -> told.put(id, owners ? summary(id) : reported(server)));
-        mDecode.forEach((id, server) -> told.put(id, owners ? summary(id) : reported(server)));
-        long takenAt = mLoop.now();
+        Map<BackendId, LedgerSummary> summaries = new HashMap<>();
+        mPrefill.forEach(
+                (id, server) -> summaries.put(id, owners ? summary(id) : reported(server)));
+        mDecode.forEach((id, server) -> summaries.put(id, owners ? summary(id) : reported(server)));
+        long takenAtMillis = mLoop.now();
         mLoop.after(
                 owners ? Scenario.HOP_MILLIS : LOAD_LAG_MILLIS,
                 () -> {
-                    mHints = told;
-                    mHintsAt = takenAt;
+                    mHints = summaries;
+                    mHintsAtMillis = takenAtMillis;
                 });
     }
 
@@ -179,11 +180,11 @@
         }
         mPrefill.forEach((id, server) -> ledger(id).observe(server.attempts(), mLoop.now()));
         mDecode.forEach((id, server) -> ledger(id).observe(server.attempts(), mLoop.now()));
-        mDecode.keySet().forEach(id -> ledger(id).limitSlots(mostSlots(id)));
+        mDecode.keySet().forEach(id -> ledger(id).limitSlots(maxSlots(id)));
     }
 
-    private int mostSlots(BackendId id) {
-        return mPace.maxBatchWithin(id, Scenario.PER_TOKEN_MILLIS, Scenario.SLOTS);
+    private int maxSlots(BackendId id) {
+        return mTokenIntervals.maxBatchWithin(id, Scenario.PER_TOKEN_MILLIS, Scenario.SLOTS);
     }
 
     private void cached(BackendId id, List<Long> hashes) {
@@ -194,16 +195,16 @@
                     lost
                             ? List.of()
                             : List.of(new CacheEvent(sequence, CacheEvent.Kind.STORED, hash));
-            mLoop.after(CACHE_EVENT_MILLIS, () -> mPrefixes.apply(id, events, sequence));
+            mLoop.after(CACHE_EVENT_LAG_MILLIS, () -> mPrefixes.apply(id, events, sequence));
         }
     }
 
-    private BackendView hinted(BackendSpec spec) {
-        long age = mLoop.now() - mHintsAt;
+    private BackendView hintedView(BackendSpec spec) {
+        long age = mLoop.now() - mHintsAtMillis;
         return view(spec, Optional.ofNullable(mHints.get(spec.id())), age);
     }
 
-    private BackendView own(BackendId id, GrantLedger share) {
+    private BackendView shareView(BackendId id, GrantLedger share) {
         return view(mDecode.get(id).spec(), Optional.of(share.summary(mLoop.now())), 0);
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/DecodeModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/DecodeModel.java
@@ -12,10 +12,10 @@
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
 
 /**
- * Timing of a decode engine: slots, and a time between tokens that grows with the batch.
+ * Timing model of a decode engine: slots, and a time between tokens that grows with the batch.
  *
- * <p>Progress is counted in tokens that each running request has got since the start of the run, so
- * a change of the batch moves one number, whatever its size.
+ * <p>Progress is counted in tokens that each running request has received since the start of the
+ * run, so that a change of the batch changes one number, whatever its size.
  */
 final class DecodeModel {
 
@@ -31,7 +31,7 @@
                             .thenComparing(Running::attempt));
 
     private double mTokens;
-    private long mTokensAt;
+    private long mTokensAtMillis;
     private long mGeneration;
 
     DecodeModel(EventLoop loop, BackendSpec spec, double idleShare) {
@@ -48,7 +48,7 @@
         return mSpec.slots() - mHeld.size();
     }
 
-    /** Takes a slot for an import; returns whether there was one. */
+    /** Reserves a slot for an import; returns whether one was free. */
     boolean tryHold(AttemptId attempt) {
         if (freeSlots() <= 0) {
             return false;
@@ -59,7 +59,7 @@
 
     /** Starts generating for an attempt that holds a slot. */
     void start(AttemptId attempt, int tokens, LongConsumer whenEnded) {
-        catchUp();
+        advance();
         mRunning.add(new Running(attempt, mTokens + tokens, whenEnded));
         schedule();
     }
@@ -69,7 +69,7 @@
     }
 
     long tokenMillis() {
-        return Math.round(pace());
+        return Math.round(tokenInterval());
     }
 
     List<ObservedAttempt> attempts() {
@@ -78,14 +78,14 @@
                 .toList();
     }
 
-    private double pace() {
+    private double tokenInterval() {
         double share = (double) mRunning.size() / mSpec.slots();
         return mSpec.tokenMillis() * (mIdleShare + (1 - mIdleShare) * share);
     }
 
-    private void catchUp() {
-        mTokens += (mLoop.now() - mTokensAt) / pace();
-        mTokensAt = mLoop.now();
+    private void advance() {
+        mTokens += (mLoop.now() - mTokensAtMillis) / tokenInterval();
+        mTokensAtMillis = mLoop.now();
     }
 
     private void schedule() {
@@ -94,15 +94,15 @@
             return;
         }
         long generation = mGeneration;
-        double left = Math.max(0, mRunning.first().endsAtTokens() - mTokens) * pace();
-        mLoop.after((long) Math.ceil(left), () -> endDue(generation));
+        double left = Math.max(0, mRunning.first().endsAtTokens() - mTokens) * tokenInterval();
+        mLoop.after((long) Math.ceil(left), () -> completeDue(generation));
     }
 
-    private void endDue(long generation) {
+    private void completeDue(long generation) {
         if (generation != mGeneration) {
             return;
         }
-        catchUp();
+        advance();
         while (!mRunning.isEmpty() && mRunning.first().endsAtTokens() <= mTokens + 1e-6) {
             Running ended = mRunning.pollFirst();
             mHeld.remove(ended.attempt());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/EventLoop.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/EventLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.cyclamenpaddle.core.time.VirtualClock;
 
-/** Runs events in the order of their virtual time; events of one instant in the order of entry. */
+/** Runs events in order of their virtual time; events of the same time run in insertion order. */
 final class EventLoop {
 
     private record Event(long atMillis, long number, Runnable work) {}
@@ -24,7 +24,7 @@
         mEvents.add(new Event(now() + Math.max(0, millis), mNumber++, work));
     }
 
-    /** Runs {@code work} at once and then again and again. */
+    /** Runs {@code work} immediately and then periodically. */
     void every(long millis, Runnable work) {
         work.run();
         after(millis, () -> every(millis, work));
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/ExperimentRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/ExperimentRun.java
@@ -17,13 +17,13 @@
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
 
-/** One run of one scenario. */
+/** A single run of one scenario. */
 final class ExperimentRun {
 
     private static final long WARM_UP_MILLIS = 10_000;
-    private static final long AFTER_MILLIS = 20_000;
+    private static final long COOL_DOWN_MILLIS = 20_000;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final double HOLD_QUANTILE = 0.5;
+    private static final double LENGTH_QUANTILE = 0.5;
     private static final int SOURCES = 64;
     private static final TeamName TEAM = new TeamName("model");
     private static final ServiceName SERVICE = new ServiceName("model");
@@ -35,18 +35,18 @@
     private final UniformRandomProvider mRandom;
     private final Admission mAdmission;
     private final OutputLengthEstimator mLengths =
-            new OutputLengthEstimator(HOLD_QUANTILE, SOURCES);
-    private final double mPerSecond;
+            new OutputLengthEstimator(LENGTH_QUANTILE, SOURCES);
+    private final double mArrivalsPerSecond;
     private final double mCapacityPerSecond;
 
-    private double mNextArrival;
+    private double mNextArrivalMillis;
     private long mNumber;
     private long mArrived;
     private long mGood;
     private long mLate;
     private long mRefused;
     private long mLost;
-    private long mFull;
+    private long mFullResponses;
 
     ExperimentRun(Scenario scenario) {
         mScenario = scenario;
@@ -57,13 +57,13 @@
         double hold =
                 Workload.meanHoldMillis(random(0), scenario.tokenMillis(), Scenario.LINK_RATE);
         mCapacityPerSecond = scenario.decodeServers() * Scenario.SLOTS * MILLIS_PER_SECOND / hold;
-        mPerSecond = scenario.load() * mCapacityPerSecond;
+        mArrivalsPerSecond = scenario.load() * mCapacityPerSecond;
     }
 
     RunResult run() {
         long end = mScenario.seconds() * (long) MILLIS_PER_SECOND;
-        arriveNext(end);
-        mLoop.runUntil(end + AFTER_MILLIS);
+        scheduleArrival(end);
+        mLoop.runUntil(end + COOL_DOWN_MILLIS);
         double seconds = (end - WARM_UP_MILLIS) / MILLIS_PER_SECOND;
         return new RunResult(
                 mArrived,
@@ -71,7 +71,7 @@
                 mLate,
                 mRefused,
                 mLost,
-                mFull,
+                mFullResponses,
                 mCapacityPerSecond * seconds,
                 mCluster.wastedShare());
     }
@@ -107,7 +107,7 @@
     }
 
     void countFull() {
-        mFull++;
+        mFullResponses++;
     }
 
     void served(long arrivedAt, boolean good, int tokens) {
@@ -127,9 +127,9 @@
         mLost += arrivedAt >= WARM_UP_MILLIS ? 1 : 0;
     }
 
-    private void arriveNext(long endMillis) {
-        mNextArrival += mWorkload.gapMillis(mPerSecond);
-        long at = (long) mNextArrival;
+    private void scheduleArrival(long endMillis) {
+        mNextArrivalMillis += mWorkload.gapMillis(mArrivalsPerSecond);
+        long at = (long) mNextArrivalMillis;
         if (at >= endMillis) {
             return;
         }
@@ -137,7 +137,7 @@
                 at - mLoop.now(),
                 () -> {
                     arrive();
-                    arriveNext(endMillis);
+                    scheduleArrival(endMillis);
                 });
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PlacementExperiment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PlacementExperiment.java
@@ -10,9 +10,9 @@
 /**
  * Compares placement strategies over a timing model of engines and prints a table.
  *
- * <p>Arguments: runners, loads and strategies as comma-separated lists, then seeds, virtual
- * seconds, milliseconds between hints, whether batches are steep, and the ledgers' standard
- * deviations; all may be left out from the right.
+ * <p>Arguments: engines, loads and strategies as comma-separated lists, then the number of seeds,
+ * virtual seconds, milliseconds between hints, whether the time between tokens grows steeply with
+ * the batch, and the ledgers' standard deviations; trailing arguments may be omitted.
  */
 public final class PlacementExperiment {
 
@@ -32,7 +32,7 @@
     /**
      * Runs the comparison.
      *
-     * @param args see the class
+     * @param args see the class description
      */
     public static void main(String[] args) {
         List<String> all = new ArrayList<>(Arrays.asList(args));
@@ -41,12 +41,12 @@
                 "| runners | load | strategy | goodput/capacity | min..max | late | refused | lost"
                         + " | wasted prefill | full answers |");
         System.out.println("|---|---|---|---|---|---|---|---|---|---|");
-        for (String runners : all.get(0).split(",")) {
+        for (String engines : all.get(0).split(",")) {
             for (String load : all.get(1).split(",")) {
                 for (String strategy : all.get(2).split(",")) {
                     report(
                             Strategy.valueOf(strategy),
-                            Integer.parseInt(runners),
+                            Integer.parseInt(engines),
                             Double.parseDouble(load),
                             all);
                 }
@@ -54,7 +54,7 @@
         }
     }
 
-    private static void report(Strategy strategy, int runners, double load, List<String> args) {
+    private static void report(Strategy strategy, int engines, double load, List<String> args) {
         int seconds = Integer.parseInt(args.get(4));
         long hint = Long.parseLong(args.get(5));
         boolean steep = Boolean.parseBoolean(args.get(6));
@@ -65,7 +65,7 @@
                                 seed ->
                                         new Scenario(
                                                 strategy,
-                                                runners,
+                                                engines,
                                                 load,
                                                 seed,
                                                 seconds,
@@ -78,7 +78,7 @@
         System.out.printf(
                 Locale.ROOT,
                 "| %d | %.1f | %s | %.3f | %.3f..%.3f | %.1f%% | %.1f%% | %.1f%% | %.1f%% | %d |%n",
-                runners,
+                engines,
                 load,
                 strategy,
                 results.stream().mapToDouble(RunResult::goodput).average().orElse(0),
@@ -88,6 +88,6 @@
                 100 * results.stream().mapToLong(RunResult::refused).sum() / arrived,
                 100 * results.stream().mapToLong(RunResult::lost).sum() / arrived,
                 100 * results.stream().mapToDouble(RunResult::wastedShare).average().orElse(0),
-                results.stream().mapToLong(RunResult::fullAnswers).sum());
+                results.stream().mapToLong(RunResult::fullResponses).sum());
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PrefillModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PrefillModel.java
@@ -15,17 +15,17 @@
 import org.cyclamenpaddle.core.text.PromptText;
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
 
-/** Timing of a prefill engine: serial compute, results that are evicted, a serial link. */
+/** Timing model of a prefill engine: serial compute, results that are evicted, a serial link. */
 final class PrefillModel {
 
-    /** How long a result lives. */
-    static final long RESULT_MILLIS = 800;
+    /** Time after which a result is evicted. */
+    static final long RESULT_RETENTION_MILLIS = 800;
 
     private static final int CACHED_BLOCKS = 64;
-    private static final double SLOWEST = 1.25;
-    private static final double FASTEST = 0.9;
+    private static final double MAX_TIME_FACTOR = 1.25;
+    private static final double MIN_TIME_FACTOR = 0.9;
 
-    /** What becomes of one prefill. */
+    /** A prefill and its completion callback. */
     record Job(AttemptId attempt, Workload.Request request, Consumer<Job> whenComputed) {}
 
     private final EventLoop mLoop;
@@ -76,18 +76,18 @@
         computeNext();
     }
 
-    /** Drops a job that waits, or its result. */
+    /** Removes a queued job, or its result. */
     void cancel(AttemptId attempt) {
         mQueue.removeIf(job -> job.attempt().equals(attempt));
         mResults.remove(attempt);
     }
 
     boolean holds(AttemptId attempt) {
-        Long until = mResults.get(attempt);
-        return until != null && until > mLoop.now();
+        Long expiresAt = mResults.get(attempt);
+        return expiresAt != null && expiresAt > mLoop.now();
     }
 
-    /** Takes the result over the link and returns how long that takes, queueing included. */
+    /** Transfers the result over the link and returns how long that takes, queueing included. */
     long exportMillis(AttemptId attempt, long bytes) {
         long work = bytes * 1_000 / mSpec.linkBytesPerSecond();
         mLinkFreeAt = Math.max(mLinkFreeAt, mLoop.now()) + work;
@@ -103,13 +103,13 @@
     }
 
     List<ObservedAttempt> attempts() {
-        List<ObservedAttempt> seen = new ArrayList<>();
-        mQueue.forEach(job -> seen.add(observed(job.attempt())));
+        List<ObservedAttempt> observed = new ArrayList<>();
+        mQueue.forEach(job -> observed.add(observed(job.attempt())));
         if (mComputing != null) {
-            seen.add(observed(mComputing.attempt()));
+            observed.add(observed(mComputing.attempt()));
         }
-        mResults.keySet().stream().sorted().forEach(attempt -> seen.add(observed(attempt)));
-        return seen;
+        mResults.keySet().stream().sorted().forEach(attempt -> observed.add(observed(attempt)));
+        return observed;
     }
 
     private void computeNext() {
@@ -121,16 +121,17 @@
         int tokens = request.promptTokens() - cachedTokens(request.blockHashes());
         mComputedTokens += tokens;
         mTokens.put(mComputing.attempt(), tokens);
-        double speed = FASTEST + (SLOWEST - FASTEST) * mRandom.nextDouble();
-        long work = Math.round(speed * tokens * 1_000 / mSpec.prefillTokensPerSecond());
+        double timeFactor =
+                MIN_TIME_FACTOR + (MAX_TIME_FACTOR - MIN_TIME_FACTOR) * mRandom.nextDouble();
+        long work = Math.round(timeFactor * tokens * 1_000 / mSpec.prefillTokensPerSecond());
         mLoop.after(work, this::computed);
     }
 
     private void computed() {
         Job done = mComputing;
         mComputing = null;
-        mResults.put(done.attempt(), mLoop.now() + RESULT_MILLIS);
-        mLoop.after(RESULT_MILLIS, () -> mResults.remove(done.attempt()));
+        mResults.put(done.attempt(), mLoop.now() + RESULT_RETENTION_MILLIS);
+        mLoop.after(RESULT_RETENTION_MILLIS, () -> mResults.remove(done.attempt()));
         done.request().blockHashes().forEach(hash -> mCache.put(hash, true));
         mWhenCached.accept(done.request().blockHashes());
         done.whenComputed().accept(done);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -15,13 +15,13 @@
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
 
-/** One request on its way through the model, as its host drives it. */
+/** Drives one request through the model as its host would. */
 final class RequestRun {
 
-    private static final int MOST_ASKS = 4;
-    private static final int MOST_MOVES = 4;
+    private static final int MAX_GRANT_REQUESTS = 4;
+    private static final int MAX_OTHER_SERVERS = 4;
     private static final long RETRY_MILLIS = 10;
-    private static final GrantRequestFactory ASKS = GrantRequestFactory.DEFAULTS;
+    private static final GrantRequestFactory GRANT_REQUESTS = GrantRequestFactory.DEFAULTS;
 
     private final ExperimentRun mRun;
     private final Workload.Request mRequest;
@@ -33,9 +33,9 @@
     private List<Candidate> mDecodeOrder = List.of();
     private Optional<BackendId> mPrefillServer = Optional.empty();
     private Optional<BackendId> mDecodeServer = Optional.empty();
-    private boolean mPrefillBegun;
+    private boolean mPrefillStarted;
     private boolean mAccepted;
-    private boolean mOver;
+    private boolean mDone;
 
     RequestRun(ExperimentRun run, Workload.Request request, AttemptId attempt, int host) {
         mRun = run;
@@ -55,15 +55,15 @@
                         mRequest.kvBytes(),
                         mRun.expectedTokens(),
                         Cluster.DOMAIN,
-                        left());
+                        remainingMillis());
         mRun.admit(mPlacement, mHost).peek(this::admitted).peekLeft(refusal -> refuse());
     }
 
     private void admitted(Admitted admitted) {
         mDecodeOrder = admitted.decode();
-        mRun.loop().after(left(), this::deadline);
+        mRun.loop().after(remainingMillis(), this::deadline);
         if (mRun.strategy().usesOwners()) {
-            askPrefill(admitted.prefill(), 0);
+            requestPrefillGrant(admitted.prefill(), 0);
             return;
         }
         Candidate best = admitted.prefill().get(0);
@@ -74,37 +74,37 @@
         prefillOn(best.backend());
     }
 
-    private void askPrefill(List<Candidate> order, int index) {
-        if (index >= Math.min(MOST_ASKS, order.size())) {
+    private void requestPrefillGrant(List<Candidate> order, int index) {
+        if (index >= Math.min(MAX_GRANT_REQUESTS, order.size())) {
             refuse();
             return;
         }
         Candidate candidate = order.get(index);
-        GrantAsk ask = ASKS.prefill(mAttempt, mPlacement, candidate, left());
-        ask(
+        GrantAsk ask = GRANT_REQUESTS.prefill(mAttempt, mPlacement, candidate, remainingMillis());
+        requestGrant(
                 ask,
                 answer -> {
                     if (answer.decision() != GrantDecision.GRANTED) {
-                        askPrefill(order, index + 1);
+                        requestPrefillGrant(order, index + 1);
                         return;
                     }
                     mPrefillServer = Optional.of(candidate.backend());
-                    askDecode(answer.endInMillis(), 0);
+                    requestDecodeGrant(answer.endInMillis(), 0);
                 });
     }
 
-    private void askDecode(long prefillEndInMillis, int index) {
-        if (index >= Math.min(MOST_ASKS, mDecodeOrder.size())) {
+    private void requestDecodeGrant(long prefillEndInMillis, int index) {
+        if (index >= Math.min(MAX_GRANT_REQUESTS, mDecodeOrder.size())) {
             refuse();
             return;
         }
         BackendId server = mDecodeOrder.get(index).backend();
-        GrantAsk ask = decodeAsk(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
-        ask(
+        GrantAsk ask = decodeGrantRequest(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
+        requestGrant(
                 ask,
                 answer -> {
                     if (answer.decision() != GrantDecision.GRANTED) {
-                        askDecode(prefillEndInMillis, index + 1);
+                        requestDecodeGrant(prefillEndInMillis, index + 1);
                         return;
                     }
                     mDecodeServer = Optional.of(server);
@@ -112,25 +112,26 @@
                 });
     }
 
-    private GrantAsk decodeAsk(BackendId server, BackendId prefill, long prefillEndInMillis) {
-        return ASKS.decode(
+    private GrantAsk decodeGrantRequest(
+            BackendId server, BackendId prefill, long prefillEndInMillis) {
+        return GRANT_REQUESTS.decode(
                 mAttempt,
                 mPlacement,
                 mRun.cluster().decode(server).spec(),
                 mRun.cluster().prefill(prefill).spec(),
                 prefillEndInMillis,
-                left());
+                remainingMillis());
     }
 
-    private GrantAsk decodeNowAsk(BackendId server) {
-        return ASKS.decodeNow(
+    private GrantAsk decodeNowGrantRequest(BackendId server) {
+        return GRANT_REQUESTS.decodeNow(
                 mAttempt,
                 mPlacement,
                 mRun.cluster().decode(server).spec(),
                 mRun.cluster().prefill(mPrefillServer.orElseThrow()).spec());
     }
 
-    private void ask(GrantAsk ask, Consumer<GrantAnswer> then) {
+    private void requestGrant(GrantAsk ask, Consumer<GrantAnswer> then) {
         EventLoop loop = mRun.loop();
         loop.after(
                 Scenario.HOP_MILLIS,
@@ -140,7 +141,7 @@
                     loop.after(
                             Scenario.HOP_MILLIS,
                             () -> {
-                                if (!mOver) {
+                                if (!mDone) {
                                     then.accept(answer);
                                 }
                             });
@@ -151,7 +152,8 @@
         for (Candidate candidate : mDecodeOrder) {
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
             GrantAsk ask =
-                    decodeAsk(candidate.backend(), prefill.backend(), prefill.predictedMillis());
+                    decodeGrantRequest(
+                            candidate.backend(), prefill.backend(), prefill.predictedMillis());
             if (share.request(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
                 mDecodeServer = Optional.of(candidate.backend());
                 return true;
@@ -162,7 +164,7 @@
 
     private void prefillOn(BackendId server) {
         mPrefillServer = Optional.of(server);
-        mPrefillBegun = true;
+        mPrefillStarted = true;
         PrefillModel.Job job =
                 new PrefillModel.Job(
                         mAttempt,
@@ -172,33 +174,33 @@
                 .after(
                         Scenario.HOP_MILLIS,
                         () -> {
-                            if (!mOver) {
+                            if (!mDone) {
                                 mRun.cluster().prefill(server).prefill(job);
                             }
                         });
     }
 
     private void tryDecode() {
-        if (mOver) {
+        if (mDone) {
             return;
         }
-        BackendId server = mDecodeServer.orElseGet(this::freshChoice);
+        BackendId server = mDecodeServer.orElseGet(this::chooseDecode);
         mRun.loop().after(Scenario.HOP_MILLIS, () -> decodeOn(server));
     }
 
-    private BackendId freshChoice() {
+    private BackendId chooseDecode() {
         return mRun.rankDecode(mPlacement, mHost).get(0).backend();
     }
 
     private void decodeOn(BackendId server) {
         PrefillModel prefill = mRun.cluster().prefill(mPrefillServer.orElseThrow());
-        if (mOver || !prefill.holds(mAttempt)) {
-            giveUp();
+        if (mDone || !prefill.holds(mAttempt)) {
+            abandon();
             return;
         }
         if (!mRun.cluster().decode(server).tryHold(mAttempt)) {
             mRun.countFull();
-            mRun.loop().after(Scenario.HOP_MILLIS, this::decodeElsewhere);
+            mRun.loop().after(Scenario.HOP_MILLIS, this::tryOtherServer);
             return;
         }
         mAccepted = true;
@@ -206,9 +208,9 @@
         mRun.loop().after(transfer, () -> generate(server));
     }
 
-    /** The promised slot is late: another server that has one now is as good. */
-    private void decodeElsewhere() {
-        if (mOver) {
+    /** The promised slot is late: another server with a free slot is as good. */
+    private void tryOtherServer() {
+        if (mDone) {
             return;
         }
         if (!mRun.strategy().usesOwners()) {
@@ -219,25 +221,25 @@
                 mRun.rankDecode(mPlacement, mHost).stream()
                         .map(Candidate::backend)
                         .filter(server -> !mDecodeServer.equals(Optional.of(server)))
-                        .limit(MOST_MOVES)
+                        .limit(MAX_OTHER_SERVERS)
                         .toList();
-        askToMove(others, 0);
+        requestOtherServer(others, 0);
     }
 
-    private void askToMove(List<BackendId> others, int index) {
+    private void requestOtherServer(List<BackendId> others, int index) {
         if (index >= others.size()) {
             mRun.loop().after(RETRY_MILLIS, this::tryDecode);
             return;
         }
         BackendId server = others.get(index);
-        ask(
-                decodeNowAsk(server),
+        requestGrant(
+                decodeNowGrantRequest(server),
                 answer -> {
                     if (answer.decision() != GrantDecision.GRANTED) {
-                        askToMove(others, index + 1);
+                        requestOtherServer(others, index + 1);
                         return;
                     }
-                    endDecodeGrant();
+                    releaseDecodeGrant();
                     mDecodeServer = Optional.of(server);
                     tryDecode();
                 });
@@ -245,68 +247,70 @@
 
     private void generate(BackendId server) {
         DecodeModel decode = mRun.cluster().decode(server);
-        endPrefillGrant();
-        long begunAt = mRun.loop().now();
-        long firstAt = begunAt + decode.tokenMillis();
+        releasePrefillGrant();
+        long startedAt = mRun.loop().now();
+        long firstAt = startedAt + decode.tokenMillis();
         decode.start(
                 mAttempt,
                 mRequest.outputTokens(),
                 endedAt -> {
-                    double pace = (double) (endedAt - begunAt) / mRequest.outputTokens();
-                    mRun.cluster().pace().observed(server, decode.batch() + 1, pace);
-                    served(firstAt, endedAt - begunAt);
+                    double tokenInterval = (double) (endedAt - startedAt) / mRequest.outputTokens();
+                    mRun.cluster()
+                            .tokenIntervals()
+                            .observed(server, decode.batch() + 1, tokenInterval);
+                    served(firstAt, endedAt - startedAt);
                 });
     }
 
     private void served(long firstAt, long generatingMillis) {
         boolean inTime = firstAt - mArrivedAt <= Scenario.FIRST_TOKEN_MILLIS;
-        boolean swift =
+        boolean fastEnough =
                 generatingMillis <= Scenario.PER_TOKEN_MILLIS * (double) mRequest.outputTokens();
-        mRun.served(mArrivedAt, inTime && swift, mRequest.outputTokens());
-        mOver = true;
-        endDecodeGrant();
+        mRun.served(mArrivedAt, inTime && fastEnough, mRequest.outputTokens());
+        mDone = true;
+        releaseDecodeGrant();
     }
 
     private void deadline() {
         if (!mAccepted) {
-            giveUp();
+            abandon();
         }
     }
 
     private void refuse() {
-        if (mOver) {
+        if (mDone) {
             return;
         }
-        mOver = true;
+        mDone = true;
         mRun.refused(mArrivedAt);
-        endPrefillGrant();
-        endDecodeGrant();
+        releasePrefillGrant();
+        releaseDecodeGrant();
     }
 
-    private void giveUp() {
-        if (mOver) {
+    private void abandon() {
+        if (mDone) {
             return;
         }
-        mOver = true;
-        if (mPrefillBegun) {
+        mDone = true;
+        if (mPrefillStarted) {
             mRun.lost(mArrivedAt);
         } else {
             mRun.refused(mArrivedAt);
         }
         mPrefillServer.ifPresent(server -> mRun.cluster().prefill(server).cancel(mAttempt));
-        endPrefillGrant();
-        endDecodeGrant();
+        releasePrefillGrant();
+        releaseDecodeGrant();
     }
 
-    private void endPrefillGrant() {
+    private void releasePrefillGrant() {
         if (mRun.strategy().usesOwners()) {
-            mPrefillServer.ifPresent(server -> end(mRun.cluster().ledger(server)));
+            mPrefillServer.ifPresent(server -> release(mRun.cluster().ledger(server)));
         }
     }
 
-    private void endDecodeGrant() {
+    private void releaseDecodeGrant() {
         if (mRun.strategy().usesOwners()) {
-            mDecodeServer.ifPresent(server -> end(mRun.cluster().ledger(server)));
+            mDecodeServer.ifPresent(server -> release(mRun.cluster().ledger(server)));
         } else if (mRun.strategy().reservesDecode()) {
             mDecodeServer
                     .flatMap(server -> mRun.cluster().share(mHost, server))
@@ -314,12 +318,12 @@
         }
     }
 
-    private void end(GrantLedger ledger) {
+    private void release(GrantLedger ledger) {
         EventLoop loop = mRun.loop();
         loop.after(Scenario.HOP_MILLIS, () -> ledger.release(mAttempt, loop.now()));
     }
 
-    private long left() {
+    private long remainingMillis() {
         return mArrivedAt + Scenario.FIRST_TOKEN_MILLIS - mRun.loop().now();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Scenario.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Scenario.java
@@ -3,20 +3,20 @@
 import org.cyclamenpaddle.routing.grant.LedgerSettings;
 
 /**
- * One run of the model.
+ * Parameters of one run of the model.
  *
- * @param strategy what decides
- * @param runners engines in all
+ * @param strategy placement strategy
+ * @param engines total number of engines
  * @param load arrivals as a share of the decode capacity
- * @param seed of all random numbers
+ * @param seed seed of all random numbers
  * @param seconds virtual time with arrivals
- * @param hintMillis time between two hints from a server
- * @param steep whether the full batch is too slow for the per-token target
+ * @param hintMillis time between two hints of a server
+ * @param steep whether the full batch exceeds the per-token target
  * @param deviations see {@link LedgerSettings#safetyDeviations()}
  */
 record Scenario(
         Strategy strategy,
-        int runners,
+        int engines,
         double load,
         long seed,
         int seconds,
@@ -36,38 +36,38 @@
     static final long HOP_MILLIS = 1;
 
     private static final double PREFILL_SHARE = 5.0 / 13;
-    private static final double HOSTS_PER_RUNNER = 6.0 / 13;
+    private static final double HOSTS_PER_ENGINE = 6.0 / 13;
 
     LedgerSettings ledgerSettings() {
-        LedgerSettings usual = LedgerSettings.DEFAULTS;
+        LedgerSettings defaults = LedgerSettings.DEFAULTS;
         return new LedgerSettings(
-                usual.startGraceMillis(),
-                usual.overdueMillis(),
+                defaults.startGraceMillis(),
+                defaults.overdueMillis(),
                 deviations,
-                usual.unknownHoldMillis(),
-                usual.recoveryReserve(),
-                usual.maxEndedAttempts());
+                defaults.unknownHoldMillis(),
+                defaults.recoveryReserve(),
+                defaults.maxEndedAttempts());
     }
 
-    /** Time between tokens at the full batch. */
+    /** Time between tokens at the full batch, in milliseconds. */
     long tokenMillis() {
         return steep ? STEEP_TOKEN_MILLIS : TOKEN_MILLIS;
     }
 
-    /** Time between tokens of a lone request, as a share of that at the full batch. */
+    /** Time between tokens of a single request, as a share of that at the full batch. */
     double idleShare() {
         return steep ? STEEP_IDLE_SHARE : IDLE_SHARE;
     }
 
     int prefillServers() {
-        return (int) Math.round(runners * PREFILL_SHARE);
+        return (int) Math.round(engines * PREFILL_SHARE);
     }
 
     int decodeServers() {
-        return runners - prefillServers();
+        return engines - prefillServers();
     }
 
     int hosts() {
-        return (int) Math.round(runners * HOSTS_PER_RUNNER);
+        return (int) Math.round(engines * HOSTS_PER_ENGINE);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Workload.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Workload.java
@@ -5,7 +5,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.text.PromptText;
 
-/** Draws requests: long prompts, short answers, some with a shared beginning. */
+/** Generates requests with long prompts and short outputs, some with a shared prefix. */
 final class Workload {
 
     static final int MAX_TOKENS = 400;
@@ -22,11 +22,11 @@
     private static final int SAMPLES = 100_000;
 
     /**
-     * One request of the model.
+     * A request of the model.
      *
      * @param promptTokens tokens of the prompt
      * @param outputTokens tokens that will be generated, which no decision may read
-     * @param blockHashes hashes of the shared beginning; empty if there is none
+     * @param blockHashes hashes of the shared prefix; empty if there is none
      */
     record Request(int promptTokens, int outputTokens, List<Long> blockHashes) {
 
