--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -79,7 +79,7 @@
     /** Makes a call; the future never fails. */
     public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(OpenCall call) {
         synchronized (mBudget) {
-            mBudget.freshRequest(call.service().name(), mClock.millis());
+            mBudget.recordRequest(call.service().name(), mClock.millis());
         }
         mOpen.incrementAndGet();
         return attempt(call, mClock.millis() + call.call().timeoutMillis(), new HashSet<>())
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
@@ -85,7 +85,7 @@
     }
 
     /** Removes an engine, for example one that has another model. */
-    public void forget(BackendId backend) {
+    public void remove(BackendId backend) {
         mFits.remove(backend);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -91,7 +91,7 @@
      * @param nowMillis current clock reading
      * @return notices to send to peers
      */
-    public List<StrikeNotice> onBackendDied(
+    public List<StrikeNotice> onBackendCrashed(
             BackendId backend, Collection<Long> fingerprints, long nowMillis) {
         removeExpired(nowMillis);
         Set<Long> distinct = new HashSet<>(fingerprints);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -87,5 +87,5 @@
      * <p>The request's strike is recorded before this method returns, so that the next ranking
      * takes it into account.
      */
-    void backendDied(RequestShape shape, BackendId backend, long now);
+    void backendCrashed(RequestShape shape, BackendId backend, long now);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -85,7 +85,7 @@
     }
 
     /** Handles an owner's response to a grant request. */
-    public List<RequestEffect> onGrantAnswer(GrantAnswer answer, long now) {
+    public List<RequestEffect> onGrantResponse(GrantAnswer answer, long now) {
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (!awaitsGrant(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
@@ -432,7 +432,7 @@
             mEnvironment.backendUnreachable(placed.backend(), now);
         }
         if (crashed) {
-            mEnvironment.backendDied(mShape, placed.backend(), now);
+            mEnvironment.backendCrashed(mShape, placed.backend(), now);
         }
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
@@ -71,7 +71,7 @@
      * @param service its service
      * @param nowMillis current clock reading
      */
-    public void freshRequest(ServiceName service, long nowMillis) {
+    public void recordRequest(ServiceName service, long nowMillis) {
         refill(service, mSettings.share(), nowMillis);
     }
 
