--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -100,10 +100,10 @@
     @Benchmark
     public GrantAnswer ask() {
         int turn = (int) (mNumber % mRunners);
-        GrantAsk ask = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
-        GrantAnswer answer = mLedgers.get(turn).request(ask, 0);
-        mLedgers.get(turn).release(ask.attempt(), -1);
-        return answer;
+        GrantAsk request = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
+        GrantAnswer response = mLedgers.get(turn).request(request, 0);
+        mLedgers.get(turn).release(request.attempt(), -1);
+        return response;
     }
 
     private GrantAsk ask(BackendId backend, long latestMillis) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
@@ -109,16 +109,16 @@
      */
     public GrantAsk decodeNow(
             AttemptId attempt, PlacementRequest request, BackendSpec server, BackendSpec prefill) {
-        GrantAsk ask = decode(attempt, request, server, prefill, 0, 0);
+        GrantAsk grantRequest = decode(attempt, request, server, prefill, 0, 0);
         return new GrantAsk(
                 attempt,
-                ask.backend(),
-                ask.role(),
-                ask.tokens(),
-                ask.pieces(),
-                ask.transferBytes(),
+                grantRequest.backend(),
+                grantRequest.role(),
+                grantRequest.tokens(),
+                grantRequest.pieces(),
+                grantRequest.transferBytes(),
                 0,
                 0,
-                ask.holdMillis());
+                grantRequest.holdMillis());
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -80,16 +80,17 @@
             return;
         }
         Candidate candidate = order.get(index);
-        GrantAsk ask = GRANT_REQUESTS.prefill(mAttempt, mPlacement, candidate, remainingMillis());
+        GrantAsk grantRequest =
+                GRANT_REQUESTS.prefill(mAttempt, mPlacement, candidate, remainingMillis());
         requestGrant(
-                ask,
-                answer -> {
-                    if (answer.decision() != GrantDecision.GRANTED) {
+                grantRequest,
+                response -> {
+                    if (response.decision() != GrantDecision.GRANTED) {
                         requestPrefillGrant(order, index + 1);
                         return;
                     }
                     mPrefillServer = Optional.of(candidate.backend());
-                    requestDecodeGrant(answer.endInMillis(), 0);
+                    requestDecodeGrant(response.endInMillis(), 0);
                 });
     }
 
@@ -99,11 +100,12 @@
             return;
         }
         BackendId server = mDecodeOrder.get(index).backend();
-        GrantAsk ask = decodeGrantRequest(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
+        GrantAsk grantRequest =
+                decodeGrantRequest(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
         requestGrant(
-                ask,
-                answer -> {
-                    if (answer.decision() != GrantDecision.GRANTED) {
+                grantRequest,
+                response -> {
+                    if (response.decision() != GrantDecision.GRANTED) {
                         requestDecodeGrant(prefillEndInMillis, index + 1);
                         return;
                     }
@@ -131,18 +133,20 @@
                 mRun.cluster().prefill(mPrefillServer.orElseThrow()).spec());
     }
 
-    private void requestGrant(GrantAsk ask, Consumer<GrantAnswer> then) {
+    private void requestGrant(GrantAsk grantRequest, Consumer<GrantAnswer> then) {
         EventLoop loop = mRun.loop();
         loop.after(
                 Scenario.HOP_MILLIS,
                 () -> {
-                    GrantAnswer answer =
-                            mRun.cluster().ledger(ask.backend()).request(ask, loop.now());
+                    GrantAnswer response =
+                            mRun.cluster()
+                                    .ledger(grantRequest.backend())
+                                    .request(grantRequest, loop.now());
                     loop.after(
                             Scenario.HOP_MILLIS,
                             () -> {
                                 if (!mDone) {
-                                    then.accept(answer);
+                                    then.accept(response);
                                 }
                             });
                 });
@@ -151,10 +155,11 @@
     private boolean reserveShare(Candidate prefill) {
         for (Candidate candidate : mDecodeOrder) {
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
-            GrantAsk ask =
+            GrantAsk grantRequest =
                     decodeGrantRequest(
                             candidate.backend(), prefill.backend(), prefill.predictedMillis());
-            if (share.request(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
+            if (share.request(grantRequest, mRun.loop().now()).decision()
+                    == GrantDecision.GRANTED) {
                 mDecodeServer = Optional.of(candidate.backend());
                 return true;
             }
@@ -234,8 +239,8 @@
         BackendId server = others.get(index);
         requestGrant(
                 decodeNowGrantRequest(server),
-                answer -> {
-                    if (answer.decision() != GrantDecision.GRANTED) {
+                response -> {
+                    if (response.decision() != GrantDecision.GRANTED) {
                         requestOtherServer(others, index + 1);
                         return;
                     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/CapacityPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/CapacityPlan.java
@@ -12,13 +12,14 @@
     /**
      * Returns the first interval in which the grant request fits beside the existing reservations.
      */
-    Interval preview(GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis);
+    Interval preview(
+            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis);
 
     /**
      * Reserves the capacity of a grant request in {@code span}, or from now on if it is already in
      * use.
      */
-    void reserve(GrantAsk ask, Interval span);
+    void reserve(GrantAsk request, Interval span);
 
     /** Releases what {@link #reserve} reserved. */
     void release(AttemptId attempt);
@@ -30,7 +31,7 @@
     void limitSlots(int maxSlots);
 
     /** Returns whether the grant request would be late if it got {@code span}. */
-    boolean tooLate(GrantAsk ask, Interval span, long nowMillis);
+    boolean tooLate(GrantAsk request, Interval span, long nowMillis);
 
     /** Asserts that no more than the capacity is promised in {@code span}. */
     void requireCapacity(Collection<Reservation> held, Interval span, long nowMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -63,32 +63,33 @@
      * bounds the expected end of prefill and transfer. An attempt that has ended is not granted
      * again.
      *
-     * @param ask a grant request for this backend server
+     * @param request a grant request for this backend server
      * @param nowMillis current clock reading
      */
-    public GrantAnswer request(GrantAsk ask, long nowMillis) {
-        requireOwn(ask);
-        Reservation held = mHeld.get(ask.attempt());
+    public GrantAnswer request(GrantAsk request, long nowMillis) {
+        requireOwn(request);
+        Reservation held = mHeld.get(request.attempt());
         if (held != null) {
             Interval promised = new Interval(held.startMillis(), held.endMillis());
-            return answer(ask, GrantDecision.GRANTED, promised, nowMillis);
+            return response(request, GrantDecision.GRANTED, promised, nowMillis);
         }
-        if (closed() || mRole != ask.role() || mEnded.contains(ask.attempt())) {
-            return unavailable(ask, 0);
+        if (closed() || mRole != request.role() || mEnded.contains(request.attempt())) {
+            return unavailable(request, 0);
         }
         if (recovering(nowMillis) && !mObserved) {
-            return unavailable(ask, mRecoversUntilMillis - nowMillis);
+            return unavailable(request, mRecoversUntilMillis - nowMillis);
         }
-        if (mSpec.memoryPieces() > 0 && ask.pieces() > mSpec.memoryPieces()) {
-            return new GrantAnswer(ask.attempt(), ask.backend(), GrantDecision.TOO_BIG, 0, 0);
+        if (mSpec.memoryPieces() > 0 && request.pieces() > mSpec.memoryPieces()) {
+            return new GrantAnswer(
+                    request.attempt(), request.backend(), GrantDecision.TOO_BIG, 0, 0);
         }
-        Interval span = mPlan.preview(ask, mHeld.values(), reservedSlots(nowMillis), nowMillis);
-        if (mPlan.tooLate(ask, span, nowMillis)) {
-            return answer(ask, GrantDecision.TOO_LATE, span, nowMillis);
+        Interval span = mPlan.preview(request, mHeld.values(), reservedSlots(nowMillis), nowMillis);
+        if (mPlan.tooLate(request, span, nowMillis)) {
+            return response(request, GrantDecision.TOO_LATE, span, nowMillis);
         }
-        addReservation(ask, span, false);
+        addReservation(request, span, false);
         mPlan.requireCapacity(mHeld.values(), span, nowMillis);
-        return answer(ask, GrantDecision.GRANTED, span, nowMillis);
+        return response(request, GrantDecision.GRANTED, span, nowMillis);
     }
 
     /**
@@ -234,16 +235,16 @@
         return Set.copyOf(mHeld.keySet());
     }
 
-    private void addReservation(GrantAsk ask, Interval span, boolean observed) {
+    private void addReservation(GrantAsk request, Interval span, boolean observed) {
         Reservation reservation =
                 new Reservation(
-                        ask.attempt(),
-                        ask.pieces(),
+                        request.attempt(),
+                        request.pieces(),
                         span.startMillis(),
                         span.endMillis(),
                         observed);
-        mPlan.reserve(ask, span);
-        mHeld.put(ask.attempt(), reservation);
+        mPlan.reserve(request, span);
+        mHeld.put(request.attempt(), reservation);
     }
 
     private void remove(AttemptId attempt) {
@@ -284,24 +285,24 @@
         return (int) Math.ceil(mSpec.slots() * mSettings.recoveryReserve());
     }
 
-    private GrantAnswer unavailable(GrantAsk ask, long startInMillis) {
+    private GrantAnswer unavailable(GrantAsk request, long startInMillis) {
         return new GrantAnswer(
-                ask.attempt(), ask.backend(), GrantDecision.UNAVAILABLE, startInMillis, 0);
+                request.attempt(), request.backend(), GrantDecision.UNAVAILABLE, startInMillis, 0);
     }
 
-    private GrantAnswer answer(
-            GrantAsk ask, GrantDecision decision, Interval span, long nowMillis) {
+    private GrantAnswer response(
+            GrantAsk request, GrantDecision decision, Interval span, long nowMillis) {
         return new GrantAnswer(
-                ask.attempt(),
-                ask.backend(),
+                request.attempt(),
+                request.backend(),
                 decision,
                 Math.max(0, span.startMillis() - nowMillis),
                 Math.max(0, span.endMillis() - nowMillis));
     }
 
-    private void requireOwn(GrantAsk ask) {
+    private void requireOwn(GrantAsk request) {
         Invariants.require(
-                ask.backend().equals(mSpec.id()),
-                () -> "ledger of " + mSpec.id() + " got a request for " + ask.backend());
+                request.backend().equals(mSpec.id()),
+                () -> "ledger of " + mSpec.id() + " got a request for " + request.backend());
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
@@ -33,16 +33,17 @@
 
     @Override
     public Interval preview(
-            GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         UsageProfile memory = memoryProfile(held, nowMillis);
-        long work = computeMillis(ask.tokens());
-        long from = nowMillis + Math.max(0, ask.neededInMillis()) + backlogMillis(held, nowMillis);
+        long computeMillis = computeMillis(request.tokens());
+        long from =
+                nowMillis + Math.max(0, request.neededInMillis()) + backlogMillis(held, nowMillis);
         while (true) {
-            long start = mCompute.earliest(from, work);
-            long end = mLink.preview(start + work, ask.transferBytes()).endMillis();
+            long start = mCompute.earliest(from, computeMillis);
+            long end = mLink.preview(start + computeMillis, request.transferBytes()).endMillis();
             long memoryFreeAt =
                     memory.earliest(
-                            start, end - start, ask.pieces(), Integer.MAX_VALUE, pieceLimit());
+                            start, end - start, request.pieces(), Integer.MAX_VALUE, pieceLimit());
             if (memoryFreeAt <= start) {
                 return new Interval(start, end);
             }
@@ -51,10 +52,11 @@
     }
 
     @Override
-    public void reserve(GrantAsk ask, Interval span) {
-        long work = computeMillis(ask.tokens());
-        mCompute.reserve(ask.attempt(), span.startMillis(), work);
-        mLink.reserve(ask.attempt(), span.startMillis() + work, ask.transferBytes());
+    public void reserve(GrantAsk request, Interval span) {
+        long computeMillis = computeMillis(request.tokens());
+        mCompute.reserve(request.attempt(), span.startMillis(), computeMillis);
+        mLink.reserve(
+                request.attempt(), span.startMillis() + computeMillis, request.transferBytes());
     }
 
     @Override
@@ -69,14 +71,14 @@
     }
 
     @Override
-    public void limitSlots(int most) {
+    public void limitSlots(int maxSlots) {
         // Prefill is serial, so slots do not limit it.
     }
 
     /** A result that arrives after it was needed is as useless as one that starts late. */
     @Override
-    public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
-        return span.endMillis() - nowMillis > ask.latestInMillis();
+    public boolean tooLate(GrantAsk request, Interval span, long nowMillis) {
+        return span.endMillis() - nowMillis > request.latestInMillis();
     }
 
     @Override
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
@@ -34,15 +34,16 @@
 
     @Override
     public Interval preview(
-            GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
-        long needed = nowMillis + Math.max(0, ask.neededInMillis());
-        Demand demand = new Demand(ask.pieces(), ask.holdMillis(), slotLimit(reservedSlots));
+            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+        long needed = nowMillis + Math.max(0, request.neededInMillis());
+        Demand demand =
+                new Demand(request.pieces(), request.holdMillis(), slotLimit(reservedSlots));
         long start = earliest(demand, held, needed, nowMillis);
-        return new Interval(start, start + ask.holdMillis());
+        return new Interval(start, start + request.holdMillis());
     }
 
     @Override
-    public void reserve(GrantAsk ask, Interval span) {
+    public void reserve(GrantAsk request, Interval span) {
         // The reservation in the ledger is all that is needed.
     }
 
@@ -64,9 +65,9 @@
     }
 
     @Override
-    public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
-        boolean late = span.startMillis() - nowMillis > ask.latestInMillis();
-        if (ask.latestInMillis() > 0) {
+    public boolean tooLate(GrantAsk request, Interval span, long nowMillis) {
+        boolean late = span.startMillis() - nowMillis > request.latestInMillis();
+        if (request.latestInMillis() > 0) {
             // Requests for a slot right now come from late promises and do not indicate scarcity.
             mSafetyMargin.recordDecision(late);
         }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/CostModel.java
@@ -25,20 +25,23 @@
                 Math.min(
                         mRequest.promptTokens(),
                         mView.prefixes().cachedTokens(server.id(), mRequest.blockHashes()));
-        double work = workMillis(server.spec(), mRequest.promptTokens() - cached);
-        double queue =
-                server.hint().isPresent() ? server.hintedWaitMillis() : server.inFlight() * work;
-        double transfer = transferMillis(server.spec());
-        double total = queue + work + transfer + 2 * server.distanceMillis();
-        return new Scored(server, new Candidate(server.id(), Math.round(total), cached));
+        double workMillis = workMillis(server.spec(), mRequest.promptTokens() - cached);
+        double queueMillis =
+                server.hint().isPresent()
+                        ? server.hintedWaitMillis()
+                        : server.inFlight() * workMillis;
+        double transferMillis = transferMillis(server.spec());
+        double totalMillis =
+                queueMillis + workMillis + transferMillis + 2 * server.distanceMillis();
+        return new Scored(server, new Candidate(server.id(), Math.round(totalMillis), cached));
     }
 
     /** Predicts the time of the first token on a decode server. */
     Scored decode(BackendView server, long prefillEndInMillis) {
         long ready = prefillEndInMillis + 2 * server.distanceMillis();
         long start = Math.max(ready, capacityInMillis(server));
-        long total = start + server.spec().tokenMillis();
-        return new Scored(server, new Candidate(server.id(), total, 0));
+        long totalMillis = start + server.spec().tokenMillis();
+        return new Scored(server, new Candidate(server.id(), totalMillis, 0));
     }
 
     private long capacityInMillis(BackendView server) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -135,26 +135,26 @@
         return ranked.map(choices -> decode()).mapLeft(this::toPlacementRefusal);
     }
 
-    void prefillGranted(GrantAnswer answer, long now) {
-        mPrefill = Optional.of(prefill().readyAtMillis(now + answer.endInMillis()));
+    void prefillGranted(GrantAnswer response, long now) {
+        mPrefill = Optional.of(prefill().readyAtMillis(now + response.endInMillis()));
     }
 
     /**
      * Applies a decode grant and returns by how many milliseconds the prefill has to wait for the
      * slot.
      */
-    long decodeGranted(GrantAnswer answer, long now) {
-        long waitMillis = now + answer.startInMillis() - decode().readyAtMillis();
-        mDecode = Optional.of(decode().readyAtMillis(now + answer.startInMillis()));
+    long decodeGranted(GrantAnswer response, long now) {
+        long waitMillis = now + response.startInMillis() - decode().readyAtMillis();
+        mDecode = Optional.of(decode().readyAtMillis(now + response.startInMillis()));
         return waitMillis;
     }
 
     /**
      * Records that a server gave no grant; returns the refusal if no other server is to be tried.
      */
-    Optional<Refusal> recordRefusal(BackendId backend, Optional<GrantAnswer> answer, long now) {
+    Optional<Refusal> recordRefusal(BackendId backend, Optional<GrantAnswer> response, long now) {
         mRefused.add(backend);
-        answer.filter(refused -> refused.decision() == GrantDecision.TOO_LATE)
+        response.filter(refused -> refused.decision() == GrantDecision.TOO_LATE)
                 .ifPresent(
                         refused ->
                                 mEarliestStartInMillis =
@@ -175,7 +175,7 @@
     private Optional<GrantAsk> decodeGrantRequest(
             Choice choice, int generated, long endInMillis, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
-        GrantAsk ask =
+        GrantAsk grantRequest =
                 mEnvironment.decodeGrantRequest(
                         attempt,
                         mShape,
@@ -184,12 +184,14 @@
                         prefill().backend(),
                         endInMillis,
                         mDeadlineMillis - now);
-        mDecode = Optional.of(new PlacedAttempt(attempt, choice, now + ask.neededInMillis()));
-        return ifGrantsUsed(ask);
+        mDecode =
+                Optional.of(
+                        new PlacedAttempt(attempt, choice, now + grantRequest.neededInMillis()));
+        return ifGrantsUsed(grantRequest);
     }
 
-    private Optional<GrantAsk> ifGrantsUsed(GrantAsk ask) {
-        return mEnvironment.usesGrants() ? Optional.of(ask) : Optional.empty();
+    private Optional<GrantAsk> ifGrantsUsed(GrantAsk grantRequest) {
+        return mEnvironment.usesGrants() ? Optional.of(grantRequest) : Optional.empty();
     }
 
     private Set<BackendId> excluded() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -85,20 +85,21 @@
     }
 
     /** Handles an owner's response to a grant request. */
-    public List<RequestEffect> onGrantResponse(GrantAnswer answer, long now) {
-        boolean granted = answer.decision() == GrantDecision.GRANTED;
-        if (!awaitsGrant(answer.attempt())) {
-            if (granted && !isHeld(answer.attempt())) {
-                mEffects.add(new RequestEffect.ReleaseGrant(answer.attempt(), answer.backend()));
+    public List<RequestEffect> onGrantResponse(GrantAnswer response, long now) {
+        boolean granted = response.decision() == GrantDecision.GRANTED;
+        if (!awaitsGrant(response.attempt())) {
+            if (granted && !isHeld(response.attempt())) {
+                mEffects.add(
+                        new RequestEffect.ReleaseGrant(response.attempt(), response.backend()));
             }
         } else if (!granted) {
-            mHeld.removeGrant(answer.attempt());
-            tryNextChoice(answer.backend(), Optional.of(answer), now);
+            mHeld.removeGrant(response.attempt());
+            tryNextChoice(response.backend(), Optional.of(response), now);
         } else if (mPhase == RequestPhase.PLACING_PREFILL) {
-            mRound.prefillGranted(answer, now);
+            mRound.prefillGranted(response, now);
             placeDecode(now);
         } else {
-            schedulePrefill(mRound.decodeGranted(answer, now), now);
+            schedulePrefill(mRound.decodeGranted(response, now), now);
         }
         return takeEffects();
     }
@@ -212,25 +213,31 @@
         mPhase = RequestPhase.PLACING_PREFILL;
         mRound.choosePrefill(mSequencer.nextIndex(), now)
                 .peekLeft(refusal -> placementFailed(refusal, now))
-                .peek(ask -> ask.ifPresentOrElse(this::requestGrant, () -> placeDecode(now)));
+                .peek(
+                        grantRequest ->
+                                grantRequest.ifPresentOrElse(
+                                        this::requestGrant, () -> placeDecode(now)));
     }
 
     private void placeDecode(long now) {
         mPhase = RequestPhase.PLACING_DECODE;
         mRound.chooseDecode(mSequencer.nextIndex(), now)
                 .peekLeft(refusal -> placementFailed(refusal, now))
-                .peek(ask -> ask.ifPresentOrElse(this::requestGrant, () -> startPrefill(now)));
+                .peek(
+                        grantRequest ->
+                                grantRequest.ifPresentOrElse(
+                                        this::requestGrant, () -> startPrefill(now)));
     }
 
-    private void requestGrant(GrantAsk ask) {
+    private void requestGrant(GrantAsk grantRequest) {
         // Held from the request on: the owner may have granted it although its response is lost.
-        mHeld.addGrant(ask.attempt(), ask.backend());
-        mEffects.add(new RequestEffect.RequestGrant(ask));
+        mHeld.addGrant(grantRequest.attempt(), grantRequest.backend());
+        mEffects.add(new RequestEffect.RequestGrant(grantRequest));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
-    private void tryNextChoice(BackendId refused, Optional<GrantAnswer> answer, long now) {
-        Optional<Refusal> finalRefusal = mRound.recordRefusal(refused, answer, now);
+    private void tryNextChoice(BackendId refused, Optional<GrantAnswer> response, long now) {
+        Optional<Refusal> finalRefusal = mRound.recordRefusal(refused, response, now);
         if (finalRefusal.isPresent()) {
             placementFailed(finalRefusal.get(), now);
             return;
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantRequestFactoryTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantRequestFactoryTest.java
@@ -19,23 +19,23 @@
 
     @Test
     public void prefillRequestsUncachedTokensOnly() {
-        GrantAsk ask =
+        GrantAsk grantRequest =
                 REQUESTS.prefill(
                         attempt(1), request(1_000, 580), new Candidate(id(1), 0, 256), 500);
 
-        assertEquals(ask.tokens(), 744);
-        assertEquals(ask.latestInMillis(), 500 - 30);
+        assertEquals(grantRequest.tokens(), 744);
+        assertEquals(grantRequest.latestInMillis(), 500 - 30);
     }
 
     @Test
     public void decodeSlotIsNeededFromEndOfPrefill() {
-        GrantAsk ask =
+        GrantAsk grantRequest =
                 REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 150, 500);
 
-        assertEquals(ask.neededInMillis(), 150 - TRANSFER);
-        assertEquals(ask.latestInMillis(), 500 - TRANSFER - TOKEN - 80);
-        assertEquals(ask.holdMillis(), TRANSFER + 100 * TOKEN);
+        assertEquals(grantRequest.neededInMillis(), 150 - TRANSFER);
+        assertEquals(grantRequest.latestInMillis(), 500 - TRANSFER - TOKEN - 80);
+        assertEquals(grantRequest.holdMillis(), TRANSFER + 100 * TOKEN);
     }
 
     /**
@@ -58,10 +58,10 @@
 
     @Test
     public void lateSlotIsReplacedByOneThatIsFreeNow() {
-        GrantAsk ask =
+        GrantAsk grantRequest =
                 REQUESTS.decodeNow(attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20));
 
-        assertEquals(ask.neededInMillis(), 0);
-        assertEquals(ask.latestInMillis(), 0);
+        assertEquals(grantRequest.neededInMillis(), 0);
+        assertEquals(grantRequest.latestInMillis(), 0);
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -74,43 +74,53 @@
     }
 
     private void requestGrant(int number) {
-        GrantAsk ask = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
-        GrantAnswer answer = mLedger.request(ask, now());
-        GrantAnswer again = mLedger.request(ask, now());
-        boolean granted = answer.decision() == GrantDecision.GRANTED;
+        GrantAsk request = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
+        GrantAnswer response = mLedger.request(request, now());
+        GrantAnswer again = mLedger.request(request, now());
+        boolean granted = response.decision() == GrantDecision.GRANTED;
         if (granted) {
-            assertEquals(again, answer, "requested twice");
+            assertEquals(again, response, "requested twice");
         } else {
-            assertEquals(again.decision(), answer.decision(), "refused twice");
-            assertTrue(again.startInMillis() >= answer.startInMillis(), "refused " + again);
+            assertEquals(again.decision(), response.decision(), "refused twice");
+            assertTrue(again.startInMillis() >= response.startInMillis(), "refused " + again);
         }
-        assertEquals(mLedger.attempts().contains(ask.attempt()), granted);
+        assertEquals(mLedger.attempts().contains(request.attempt()), granted);
         if (granted) {
-            assertTrue(answer.startInMillis() <= LATEST, "start " + answer);
-            assertTrue(answer.startInMillis() >= ask.neededInMillis(), "start " + answer);
-            mGranted.put(ask.attempt(), promised(ask, answer));
+            assertTrue(response.startInMillis() <= LATEST, "start " + response);
+            assertTrue(response.startInMillis() >= request.neededInMillis(), "start " + response);
+            mGranted.put(request.attempt(), promised(request, response));
         }
     }
 
-    private GrantAsk promised(GrantAsk ask, GrantAnswer answer) {
-        long startsAt = now() + answer.startInMillis();
+    private GrantAsk promised(GrantAsk request, GrantAnswer response) {
+        long startsAt = now() + response.startInMillis();
         return new GrantAsk(
-                ask.attempt(), ask.backend(), ask.role(), 0, 1, 0, startsAt, LATEST, 1_000);
+                request.attempt(),
+                request.backend(),
+                request.role(),
+                0,
+                1,
+                0,
+                startsAt,
+                LATEST,
+                1_000);
     }
 
     private void startDue() {
         List<GrantAsk> due =
-                mGranted.values().stream().filter(ask -> ask.neededInMillis() <= now()).toList();
-        for (GrantAsk ask : due) {
+                mGranted.values().stream()
+                        .filter(request -> request.neededInMillis() <= now())
+                        .toList();
+        for (GrantAsk request : due) {
             if (mEndsAt.size() < SLOTS) {
-                mGranted.remove(ask.attempt());
+                mGranted.remove(request.attempt());
                 mStarts++;
-                mLateStarts += now() - ask.neededInMillis() > 100 ? 1 : 0;
-                mEndsAt.put(ask.attempt(), now() + 100 + mRandom.nextInt(1_800));
-            } else if (now() - ask.neededInMillis() > LATEST) {
-                mGranted.remove(ask.attempt());
+                mLateStarts += now() - request.neededInMillis() > 100 ? 1 : 0;
+                mEndsAt.put(request.attempt(), now() + 100 + mRandom.nextInt(1_800));
+            } else if (now() - request.neededInMillis() > LATEST) {
+                mGranted.remove(request.attempt());
                 mLateStarts++;
-                release(ask.attempt());
+                release(request.attempt());
             }
         }
     }
@@ -143,13 +153,13 @@
                 mLedger.request(decodeGrantRequest(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
-        for (GrantAsk ask : new ArrayList<>(mGranted.values())) {
-            long startsIn = ask.neededInMillis() - now();
+        for (GrantAsk request : new ArrayList<>(mGranted.values())) {
+            long startsIn = request.neededInMillis() - now();
             mLedger.register(
                     new GrantAsk(
-                            ask.attempt(),
-                            ask.backend(),
-                            ask.role(),
+                            request.attempt(),
+                            request.backend(),
+                            request.role(),
                             0,
                             1,
                             0,
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
@@ -282,16 +282,16 @@
                 GrantDecision.GRANTED);
     }
 
-    private static GrantAsk sized(GrantAsk ask, int pieces) {
+    private static GrantAsk sized(GrantAsk request, int pieces) {
         return new GrantAsk(
-                ask.attempt(),
-                ask.backend(),
-                ask.role(),
-                ask.tokens(),
+                request.attempt(),
+                request.backend(),
+                request.role(),
+                request.tokens(),
                 pieces,
-                ask.transferBytes(),
-                ask.neededInMillis(),
-                ask.latestInMillis(),
-                ask.holdMillis());
+                request.transferBytes(),
+                request.neededInMillis(),
+                request.latestInMillis(),
+                request.holdMillis());
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
@@ -52,7 +52,7 @@
     /** Decides how much memory must be free on an engine beside a generation's reservation. */
     interface Policy {
         OptionalLong requiredFreeTokens(
-                MemoryForecast forecast, EngineGenerations work, NewGeneration added);
+                MemoryForecast forecast, EngineGenerations report, NewGeneration added);
     }
 
     private static final int HOSTS = 6;
@@ -111,9 +111,9 @@
 
     Outcome run() {
         for (long now = 0; now < LENGTH_MILLIS; now += STEP_MILLIS) {
-            long moment = now;
-            mEngines.forEach(engine -> endAndPreempt(engine, moment));
-            mHistory.add(mEngines.stream().map(engine -> reports(engine, moment)).toList());
+            long currentMillis = now;
+            mEngines.forEach(engine -> endAndPreempt(engine, currentMillis));
+            mHistory.add(mEngines.stream().map(engine -> reports(engine, currentMillis)).toList());
             arrive(now);
             admitWaiting(now);
         }
@@ -154,10 +154,10 @@
         double perStep = perSecond * STEP_MILLIS / 1_000;
         for (double left = perStep; mRandom.nextDouble() < left; left--) {
             long length = draw(mShape.outputTokens());
-            NewGeneration work = new NewGeneration(draw(mShape.promptTokens()), draw(length));
+            NewGeneration generation = new NewGeneration(draw(mShape.promptTokens()), draw(length));
             int host = mRandom.nextInt(HOSTS);
-            mLengths.get(host).started(work);
-            mWaiting.add(new Waiting(nowMillis, host, work, length));
+            mLengths.get(host).started(generation);
+            mWaiting.add(new Waiting(nowMillis, host, generation, length));
             mGenerations++;
         }
     }
@@ -182,7 +182,7 @@
     private boolean admittedAt(int engine, Waiting waiting, long nowMillis) {
         int lag = (int) (REPORT_LAG_MILLIS / STEP_MILLIS);
         int at = Math.max(0, mHistory.size() - 1 - lag);
-        EngineGenerations work =
+        EngineGenerations report =
                 new EngineGenerations(
                         mShape.memoryTokens(), mHistory.get(at).get(engine), REPORT_LAG_MILLIS);
         MemoryForecast forecast =
@@ -190,7 +190,7 @@
         Generation generation =
                 new Generation(nowMillis, waiting.generation(), waiting.length(), waiting.host());
         long free = mShape.memoryTokens() - used(mEngines.get(engine), nowMillis);
-        OptionalLong required = mPolicy.requiredFreeTokens(forecast, work, waiting.generation());
+        OptionalLong required = mPolicy.requiredFreeTokens(forecast, report, waiting.generation());
         boolean fits = required.isPresent() && free >= generation.reserved() + required.getAsLong();
         if (fits) {
             mEngines.get(engine).add(generation);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
@@ -23,10 +23,10 @@
  */
 public class MemoryForecastLoadTest {
 
-    private static final Policy RESERVATION_ONLY = (forecast, work, added) -> OptionalLong.of(0);
+    private static final Policy RESERVATION_ONLY = (forecast, engine, added) -> OptionalLong.of(0);
 
     private static final Policy FORECAST =
-            (forecast, work, added) -> forecast.requiredFreeTokens(work, added);
+            (forecast, engine, added) -> forecast.requiredFreeTokens(engine, added);
 
     private static final int SHAPES = 12;
 
@@ -101,13 +101,13 @@
     @Test
     public void emptyEngineTakesWhatFitsIt() {
         OutputLengths lengths = new OutputLengths();
-        NewGeneration work = new NewGeneration(5_000, 3_000);
-        lengths.started(work);
+        NewGeneration generation = new NewGeneration(5_000, 3_000);
+        lengths.started(generation);
         MemoryForecast forecast = new MemoryForecast(lengths, 1);
         EngineGenerations empty = new EngineGenerations(8_000, List.of(), 500);
-        assertTrue(forecast.requiredFreeTokens(empty, work).isPresent());
+        assertTrue(forecast.requiredFreeTokens(empty, generation).isPresent());
         EngineGenerations small = new EngineGenerations(7_900, List.of(), 500);
-        assertEquals(forecast.requiredFreeTokens(small, work), OptionalLong.empty());
+        assertEquals(forecast.requiredFreeTokens(small, generation), OptionalLong.empty());
     }
 
     /**
@@ -141,8 +141,9 @@
 
     private static final NewGeneration AVERAGE = new NewGeneration(5_000, 3_000);
 
-    private static EngineGenerations running(int count, long made) {
-        RunningGeneration one = new RunningGeneration(AVERAGE.promptTokens() + made, made);
+    private static EngineGenerations running(int count, long generatedTokens) {
+        RunningGeneration one =
+                new RunningGeneration(AVERAGE.promptTokens() + generatedTokens, generatedTokens);
         return new EngineGenerations(80_000, Collections.nCopies(count, one), 500);
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -21,7 +21,7 @@
  */
 final class FakeEngines implements RequestEffectHandler {
 
-    static final int ANSWER_TOKENS = 12;
+    static final int RESPONSE_TOKENS = 12;
     private static final long TOKEN_MILLIS = 20;
 
     private record Event(long at, long order, LongFunction<List<RequestEffect>> deliver) {}
@@ -36,7 +36,7 @@
     private final Map<AttemptId, Integer> mStreamNumbers = new HashMap<>();
     private final Map<AttemptId, Integer> mLength = new HashMap<>();
     private final Set<AttemptId> mGranted = new HashSet<>();
-    private final List<String> mAnswer = new ArrayList<>();
+    private final List<String> mReceivedTokens = new ArrayList<>();
     private final List<RequestEffect> mFinals = new ArrayList<>();
     private RequestMachine mMachine;
     private long mOrder;
@@ -64,8 +64,8 @@
         }
     }
 
-    List<String> answer() {
-        return mAnswer;
+    List<String> receivedTokens() {
+        return mReceivedTokens;
     }
 
     List<RequestEffect> finals() {
@@ -112,7 +112,7 @@
             return;
         }
         mGranted.add(attempt);
-        GrantAnswer answer =
+        GrantAnswer response =
                 new GrantAnswer(
                         attempt,
                         effect.request().backend(),
@@ -120,7 +120,7 @@
                         effect.request().neededInMillis() + mRandom.nextInt(50),
                         effect.request().neededInMillis() + 100);
         if (!fault()) {
-            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(answer, now));
+            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(response, now));
         }
     }
 
@@ -128,9 +128,9 @@
         if (mRandom.nextBoolean()) {
             GrantDecision decision =
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
-            GrantAnswer answer =
+            GrantAnswer response =
                     new GrantAnswer(attempt, effect.request().backend(), decision, 700, 900);
-            at(2, now -> mMachine.onGrantResponse(answer, now));
+            at(2, now -> mMachine.onGrantResponse(response, now));
         }
     }
 
@@ -232,7 +232,7 @@
 
     @Override
     public void emit(RequestEffect.Emit effect) {
-        mAnswer.add(effect.text());
+        mReceivedTokens.add(effect.text());
     }
 
     @Override
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -64,15 +64,15 @@
     private static int check(FakeEngines engines, String run) {
         assertEquals(engines.finals().size(), 1, run + " final effects " + engines.finals());
         List<String> expected =
-                IntStream.range(0, engines.answer().size())
+                IntStream.range(0, engines.receivedTokens().size())
                         .mapToObj(FakeEngines::token)
                         .collect(Collectors.toList());
-        assertEquals(engines.answer(), expected, run);
+        assertEquals(engines.receivedTokens(), expected, run);
         assertEquals(engines.held(), Set.of(), run + " still holds engine memory");
         assertEquals(engines.granted(), Set.of(), run + " still holds grants");
         assertTrue(engines.now() < LONGEST_MILLIS, run + " took " + engines.now() + " ms");
         if (engines.finals().get(0) instanceof RequestEffect.Finish) {
-            assertEquals(engines.answer().size(), FakeEngines.ANSWER_TOKENS, run);
+            assertEquals(engines.receivedTokens().size(), FakeEngines.RESPONSE_TOKENS, run);
             return 1;
         }
         return 0;
@@ -87,7 +87,7 @@
                         7L,
                         900,
                         List.of(),
-                        FakeEngines.ANSWER_TOKENS,
+                        FakeEngines.RESPONSE_TOKENS,
                         580,
                         1_000);
         return new RequestMachine(shape, RequestSettings.defaults(), new RandomEnvironment(random));
@@ -157,7 +157,7 @@
                 int generated,
                 Choice choice,
                 long millisLeft) {
-            return ask(attempt, choice, BackendRole.PREFILL, 0);
+            return grantRequest(attempt, choice, BackendRole.PREFILL, 0);
         }
 
         @Override
@@ -169,10 +169,10 @@
                 BackendId prefill,
                 long prefillEndInMillis,
                 long millisLeft) {
-            return ask(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
+            return grantRequest(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
         }
 
-        private static GrantAsk ask(
+        private static GrantAsk grantRequest(
                 AttemptId attempt, Choice choice, BackendRole role, long neededIn) {
             return new GrantAsk(attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
         }
