--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -68,7 +68,7 @@
 
     private static RetryStage stage(
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
-        OptionalLong waits = request.caller().callerMillis();
+        OptionalLong waits = request.caller().callerTimeoutMillis();
         if (sentBefore) {
             return RetryStage.RETRY;
         }
@@ -77,7 +77,7 @@
         long spent = first.waitMillis() + request.comeBackMillis(relay.demand());
         boolean comesBack =
                 waits.isPresent()
-                        && relay.callers()
+                        && relay.returningClients()
                                 .read(
                                         callers ->
                                                 callers.isReturning(
@@ -94,7 +94,7 @@
         Optional<Backend> chosen =
                 mReservePacing.pauseIsDue()
                         ? Optional.empty()
-                        : mRelay.board().place(mRequest.service(), size(), mAvoid, now);
+                        : mRelay.board().select(mRequest.service(), size(), mAvoid, now);
         if (chosen.isPresent()) {
             ask(chosen.get());
         } else if (!mReservationWait.mayRetry(now)) {
@@ -171,18 +171,21 @@
         mAsked = Optional.empty();
         giveBack(runner, answer.outcome());
         if (answer.full()) {
-            mRelay.board().full(runner, mRelay.clock().millis());
+            mRelay.board().recordFull(runner, mRelay.clock().millis());
             mReservePacing.rejected();
         } else {
             mAvoid.add(runner.id());
             mRelay.log().log(
-                    RelayEvent.PLACE_NOT_KEPT, mRequest.caller().id(), runner.id(), answer.cause());
+                    RelayEvent.RESERVATION_FAILED,
+                    mRequest.caller().id(),
+                    runner.id(),
+                    answer.cause());
         }
         find();
     }
 
     private void giveBack(Backend runner, SendOutcome outcome) {
-        mRelay.board().ended(runner, size(), false, outcome, mRelay.clock().millis());
+        mRelay.board().recordOutcome(runner, size(), false, outcome, mRelay.clock().millis());
     }
 
     private WorkSize size() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -51,12 +51,12 @@
     }
 
     /** Divides the slack among so many hosts from now on. */
-    public void hosts(int hosts) {
+    public void updateHostCount(int hosts) {
         mBudget.write(budget -> budget.adjust(settings(Math.max(1, hosts))));
     }
 
     /** Counts a caller's request. */
-    public void requested(ServiceName service) {
+    public void recordRequest(ServiceName service) {
         mBudget.write(budget -> budget.recordRequest(service, mClock.millis()));
     }
 
--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -15,8 +15,8 @@
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantResponse;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.grant.LedgerSettings;
@@ -98,17 +98,17 @@
 
     /** Requests a grant from the next ledger in turn and releases it. */
     @Benchmark
-    public GrantAnswer ask() {
+    public GrantResponse ask() {
         int turn = (int) (mNumber % mRunners);
-        GrantAsk request = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
-        GrantAnswer response = mLedgers.get(turn).request(request, 0);
+        GrantRequest request = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
+        GrantResponse response = mLedgers.get(turn).request(request, 0);
         mLedgers.get(turn).release(request.attempt(), -1);
         return response;
     }
 
-    private GrantAsk ask(BackendId backend, long latestMillis) {
+    private GrantRequest ask(BackendId backend, long latestMillis) {
         AttemptId attempt = AttemptId.of(HOST, mNumber++);
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt, backend, BackendRole.DECODE, 100, 1, 0, 100, latestMillis, HOLD_MILLIS);
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.core.config.BackendRole;
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
@@ -46,9 +46,9 @@
      * @param candidate the prefill server, as ranked
      * @param millisLeft time left until the first token is due
      */
-    public GrantAsk prefill(
+    public GrantRequest prefill(
             AttemptId attempt, PlacementRequest request, Candidate candidate, long millisLeft) {
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt,
                 candidate.backend(),
                 BackendRole.PREFILL,
@@ -74,7 +74,7 @@
      *     already exists
      * @param millisLeft time left until the first token is due
      */
-    public GrantAsk decode(
+    public GrantRequest decode(
             AttemptId attempt,
             PlacementRequest request,
             BackendSpec server,
@@ -86,7 +86,7 @@
         long last = millisLeft - transfer - server.tokenMillis();
         long onTime = Math.min(needed, last - workMarginMillis);
         long latest = Math.max(last - slotMarginMillis, onTime);
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt,
                 server.id(),
                 BackendRole.DECODE,
@@ -107,10 +107,10 @@
      * @param server another decode server
      * @param prefill the prefill server, whose link carries the transfer
      */
-    public GrantAsk decodeNow(
+    public GrantRequest decodeNow(
             AttemptId attempt, PlacementRequest request, BackendSpec server, BackendSpec prefill) {
-        GrantAsk grantRequest = decode(attempt, request, server, prefill, 0, 0);
-        return new GrantAsk(
+        GrantRequest grantRequest = decode(attempt, request, server, prefill, 0, 0);
+        return new GrantRequest(
                 attempt,
                 grantRequest.backend(),
                 grantRequest.role(),
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -6,9 +6,9 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.admission.Admitted;
 import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
@@ -80,7 +80,7 @@
             return;
         }
         Candidate candidate = order.get(index);
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 GRANT_REQUESTS.prefill(mAttempt, mPlacement, candidate, remainingMillis());
         requestGrant(
                 grantRequest,
@@ -100,7 +100,7 @@
             return;
         }
         BackendId server = mDecodeOrder.get(index).backend();
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 decodeGrantRequest(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
         requestGrant(
                 grantRequest,
@@ -114,7 +114,7 @@
                 });
     }
 
-    private GrantAsk decodeGrantRequest(
+    private GrantRequest decodeGrantRequest(
             BackendId server, BackendId prefill, long prefillEndInMillis) {
         return GRANT_REQUESTS.decode(
                 mAttempt,
@@ -125,7 +125,7 @@
                 remainingMillis());
     }
 
-    private GrantAsk decodeNowGrantRequest(BackendId server) {
+    private GrantRequest decodeNowGrantRequest(BackendId server) {
         return GRANT_REQUESTS.decodeNow(
                 mAttempt,
                 mPlacement,
@@ -133,12 +133,12 @@
                 mRun.cluster().prefill(mPrefillServer.orElseThrow()).spec());
     }
 
-    private void requestGrant(GrantAsk grantRequest, Consumer<GrantAnswer> then) {
+    private void requestGrant(GrantRequest grantRequest, Consumer<GrantResponse> then) {
         EventLoop loop = mRun.loop();
         loop.after(
                 Scenario.HOP_MILLIS,
                 () -> {
-                    GrantAnswer response =
+                    GrantResponse response =
                             mRun.cluster()
                                     .ledger(grantRequest.backend())
                                     .request(grantRequest, loop.now());
@@ -155,7 +155,7 @@
     private boolean reserveShare(Candidate prefill) {
         for (Candidate candidate : mDecodeOrder) {
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
-            GrantAsk grantRequest =
+            GrantRequest grantRequest =
                     decodeGrantRequest(
                             candidate.backend(), prefill.backend(), prefill.predictedMillis());
             if (share.request(grantRequest, mRun.loop().now()).decision()
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/CapacityPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/CapacityPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -13,13 +13,13 @@
      * Returns the first interval in which the grant request fits beside the existing reservations.
      */
     Interval preview(
-            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis);
+            GrantRequest request, Collection<Reservation> held, int reservedSlots, long nowMillis);
 
     /**
      * Reserves the capacity of a grant request in {@code span}, or from now on if it is already in
      * use.
      */
-    void reserve(GrantAsk request, Interval span);
+    void reserve(GrantRequest request, Interval span);
 
     /** Releases what {@link #reserve} reserved. */
     void release(AttemptId attempt);
@@ -31,7 +31,7 @@
     void limitSlots(int maxSlots);
 
     /** Returns whether the grant request would be late if it got {@code span}. */
-    boolean tooLate(GrantAsk request, Interval span, long nowMillis);
+    boolean tooLate(GrantRequest request, Interval span, long nowMillis);
 
     /** Asserts that no more than the capacity is promised in {@code span}. */
     void requireCapacity(Collection<Reservation> held, Interval span, long nowMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -11,9 +11,9 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -66,7 +66,7 @@
      * @param request a grant request for this backend server
      * @param nowMillis current clock reading
      */
-    public GrantAnswer request(GrantAsk request, long nowMillis) {
+    public GrantResponse request(GrantRequest request, long nowMillis) {
         requireOwn(request);
         Reservation held = mHeld.get(request.attempt());
         if (held != null) {
@@ -80,7 +80,7 @@
             return unavailable(request, mRecoversUntilMillis - nowMillis);
         }
         if (mSpec.memoryPieces() > 0 && request.pieces() > mSpec.memoryPieces()) {
-            return new GrantAnswer(
+            return new GrantResponse(
                     request.attempt(), request.backend(), GrantDecision.TOO_BIG, 0, 0);
         }
         Interval span = mPlan.preview(request, mHeld.values(), reservedSlots(nowMillis), nowMillis);
@@ -120,7 +120,7 @@
      *     running
      * @param nowMillis current clock reading
      */
-    public void register(GrantAsk held, long nowMillis) {
+    public void register(GrantRequest held, long nowMillis) {
         requireOwn(held);
         boolean known = mHeld.containsKey(held.attempt());
         if (mEnded.contains(held.attempt()) || mRole != held.role()) {
@@ -235,7 +235,7 @@
         return Set.copyOf(mHeld.keySet());
     }
 
-    private void addReservation(GrantAsk request, Interval span, boolean observed) {
+    private void addReservation(GrantRequest request, Interval span, boolean observed) {
         Reservation reservation =
                 new Reservation(
                         request.attempt(),
@@ -285,14 +285,14 @@
         return (int) Math.ceil(mSpec.slots() * mSettings.recoveryReserve());
     }
 
-    private GrantAnswer unavailable(GrantAsk request, long startInMillis) {
-        return new GrantAnswer(
+    private GrantResponse unavailable(GrantRequest request, long startInMillis) {
+        return new GrantResponse(
                 request.attempt(), request.backend(), GrantDecision.UNAVAILABLE, startInMillis, 0);
     }
 
-    private GrantAnswer response(
-            GrantAsk request, GrantDecision decision, Interval span, long nowMillis) {
-        return new GrantAnswer(
+    private GrantResponse response(
+            GrantRequest request, GrantDecision decision, Interval span, long nowMillis) {
+        return new GrantResponse(
                 request.attempt(),
                 request.backend(),
                 decision,
@@ -300,7 +300,7 @@
                 Math.max(0, span.endMillis() - nowMillis));
     }
 
-    private void requireOwn(GrantAsk request) {
+    private void requireOwn(GrantRequest request) {
         Invariants.require(
                 request.backend().equals(mSpec.id()),
                 () -> "ledger of " + mSpec.id() + " got a request for " + request.backend());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.schedule.Interval;
@@ -33,7 +33,7 @@
 
     @Override
     public Interval preview(
-            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+            GrantRequest request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         UsageProfile memory = memoryProfile(held, nowMillis);
         long computeMillis = computeMillis(request.tokens());
         long from =
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void reserve(GrantAsk request, Interval span) {
+    public void reserve(GrantRequest request, Interval span) {
         long computeMillis = computeMillis(request.tokens());
         mCompute.reserve(request.attempt(), span.startMillis(), computeMillis);
         mLink.reserve(
@@ -77,7 +77,7 @@
 
     /** A result that arrives after it was needed is as useless as one that starts late. */
     @Override
-    public boolean tooLate(GrantAsk request, Interval span, long nowMillis) {
+    public boolean tooLate(GrantRequest request, Interval span, long nowMillis) {
         return span.endMillis() - nowMillis > request.latestInMillis();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -34,7 +34,7 @@
 
     @Override
     public Interval preview(
-            GrantAsk request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+            GrantRequest request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         long needed = nowMillis + Math.max(0, request.neededInMillis());
         Demand demand =
                 new Demand(request.pieces(), request.holdMillis(), slotLimit(reservedSlots));
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void reserve(GrantAsk request, Interval span) {
+    public void reserve(GrantRequest request, Interval span) {
         // The reservation in the ledger is all that is needed.
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public boolean tooLate(GrantAsk request, Interval span, long nowMillis) {
+    public boolean tooLate(GrantRequest request, Interval span, long nowMillis) {
         boolean late = span.startMillis() - nowMillis > request.latestInMillis();
         if (request.latestInMillis() > 0) {
             // Requests for a slot right now come from late promises and do not indicate scarcity.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -112,11 +112,11 @@
      */
     public void merge(StrikeNotice notice, long nowMillis) {
         removeExpired(nowMillis);
-        if (notice.remainingMillis() <= 0 || notice.struck().isEmpty()) {
+        if (notice.remainingMillis() <= 0 || notice.crashedBackends().isEmpty()) {
             return;
         }
         long remaining = Math.min(notice.remainingMillis(), mSettings.retentionMillis());
-        strike(notice.fingerprint(), notice.struck(), nowMillis + remaining);
+        strike(notice.fingerprint(), notice.crashedBackends(), nowMillis + remaining);
         evictExcess();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
@@ -88,7 +88,7 @@
     }
 
     /** Chooses a prefill server; the grant request is empty if the policy does not use grants. */
-    Either<Refusal, Optional<GrantAsk>> choosePrefill(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> choosePrefill(int generated, long now) {
         mDecode = Optional.empty();
         mDecodeChoices = 0;
         return mEnvironment
@@ -98,7 +98,7 @@
     }
 
     /** Chooses a decode server for the prefill server chosen before. */
-    Either<Refusal, Optional<GrantAsk>> chooseDecode(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> chooseDecode(int generated, long now) {
         long endInMillis = Math.max(0, prefill().readyAtMillis() - now);
         mDecodeChoices++;
         return mEnvironment
@@ -135,7 +135,7 @@
         return ranked.map(choices -> decode()).mapLeft(this::toPlacementRefusal);
     }
 
-    void prefillGranted(GrantAnswer response, long now) {
+    void prefillGranted(GrantResponse response, long now) {
         mPrefill = Optional.of(prefill().readyAtMillis(now + response.endInMillis()));
     }
 
@@ -143,7 +143,7 @@
      * Applies a decode grant and returns by how many milliseconds the prefill has to wait for the
      * slot.
      */
-    long decodeGranted(GrantAnswer response, long now) {
+    long decodeGranted(GrantResponse response, long now) {
         long waitMillis = now + response.startInMillis() - decode().readyAtMillis();
         mDecode = Optional.of(decode().readyAtMillis(now + response.startInMillis()));
         return waitMillis;
@@ -152,7 +152,7 @@
     /**
      * Records that a server gave no grant; returns the refusal if no other server is to be tried.
      */
-    Optional<Refusal> recordRefusal(BackendId backend, Optional<GrantAnswer> response, long now) {
+    Optional<Refusal> recordRefusal(BackendId backend, Optional<GrantResponse> response, long now) {
         mRefused.add(backend);
         response.filter(refused -> refused.decision() == GrantDecision.TOO_LATE)
                 .ifPresent(
@@ -164,7 +164,7 @@
                 : Optional.empty();
     }
 
-    private Optional<GrantAsk> prefillGrantRequest(Choice choice, int generated, long now) {
+    private Optional<GrantRequest> prefillGrantRequest(Choice choice, int generated, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
         mPrefill = Optional.of(new PlacedAttempt(attempt, choice, now + choice.predictedMillis()));
         return ifGrantsUsed(
@@ -172,10 +172,10 @@
                         attempt, mShape, generated, choice, mDeadlineMillis - now));
     }
 
-    private Optional<GrantAsk> decodeGrantRequest(
+    private Optional<GrantRequest> decodeGrantRequest(
             Choice choice, int generated, long endInMillis, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 mEnvironment.decodeGrantRequest(
                         attempt,
                         mShape,
@@ -190,7 +190,7 @@
         return ifGrantsUsed(grantRequest);
     }
 
-    private Optional<GrantAsk> ifGrantsUsed(GrantAsk grantRequest) {
+    private Optional<GrantRequest> ifGrantsUsed(GrantRequest grantRequest) {
         return mEnvironment.usesGrants() ? Optional.of(grantRequest) : Optional.empty();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -18,7 +18,7 @@
      *
      * @param request the grant request
      */
-    record RequestGrant(GrantAsk request) implements RequestEffect {
+    record RequestGrant(GrantRequest request) implements RequestEffect {
         @Override
         public void perform(RequestEffectHandler handler) {
             handler.requestGrant(this);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -53,7 +53,7 @@
      * @param generated number of tokens already sent to the caller
      * @param millisLeft time until the first token, or the next one, is due
      */
-    GrantAsk prefillGrantRequest(
+    GrantRequest prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft);
 
     /**
@@ -64,7 +64,7 @@
      * @param prefillEndInMillis expected time until prefill and transfer end
      * @param millisLeft time until the first token, or the next one, is due
      */
-    GrantAsk decodeGrantRequest(
+    GrantRequest decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -6,9 +6,9 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -85,7 +85,7 @@
     }
 
     /** Handles an owner's response to a grant request. */
-    public List<RequestEffect> onGrantResponse(GrantAnswer response, long now) {
+    public List<RequestEffect> onGrantResponse(GrantResponse response, long now) {
         boolean granted = response.decision() == GrantDecision.GRANTED;
         if (!awaitsGrant(response.attempt())) {
             if (granted && !isHeld(response.attempt())) {
@@ -229,14 +229,14 @@
                                         this::requestGrant, () -> startPrefill(now)));
     }
 
-    private void requestGrant(GrantAsk grantRequest) {
+    private void requestGrant(GrantRequest grantRequest) {
         // Held from the request on: the owner may have granted it although its response is lost.
         mHeld.addGrant(grantRequest.attempt(), grantRequest.backend());
         mEffects.add(new RequestEffect.RequestGrant(grantRequest));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
-    private void tryNextChoice(BackendId refused, Optional<GrantAnswer> response, long now) {
+    private void tryNextChoice(BackendId refused, Optional<GrantResponse> response, long now) {
         Optional<Refusal> finalRefusal = mRound.recordRefusal(refused, response, now);
         if (finalRefusal.isPresent()) {
             placementFailed(finalRefusal.get(), now);
@@ -276,7 +276,7 @@
      * requests at each planned restart of a host.
      */
     private void placementFailed(Refusal refusal, long now) {
-        boolean recovering = mPlacements > 0 && refusal.reason().waitingHelps();
+        boolean recovering = mPlacements > 0 && refusal.reason().retryable();
         boolean changingOwner =
                 mRound.refusedWithoutStartTime() && ++mOwnershipWaits <= MAX_OWNERSHIP_WAITS;
         if (!(recovering || changingOwner) || mRound.pastDeadline(now + PLACEMENT_RETRY_MILLIS)) {
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantRequestFactoryTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantRequestFactoryTest.java
@@ -7,7 +7,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.testng.annotations.Test;
 
@@ -19,7 +19,7 @@
 
     @Test
     public void prefillRequestsUncachedTokensOnly() {
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 REQUESTS.prefill(
                         attempt(1), request(1_000, 580), new Candidate(id(1), 0, 256), 500);
 
@@ -29,7 +29,7 @@
 
     @Test
     public void decodeSlotIsNeededFromEndOfPrefill() {
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 150, 500);
 
@@ -44,10 +44,10 @@
      */
     @Test
     public void longPromptMayGetSlotThatIsFreeOnTime() {
-        GrantAsk tight =
+        GrantRequest tight =
                 REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 430, 500);
-        GrantAsk unreachable =
+        GrantRequest unreachable =
                 REQUESTS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 460, 500);
 
@@ -58,7 +58,7 @@
 
     @Test
     public void lateSlotIsReplacedByOneThatIsFreeNow() {
-        GrantAsk grantRequest =
+        GrantRequest grantRequest =
                 REQUESTS.decodeNow(attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20));
 
         assertEquals(grantRequest.neededInMillis(), 0);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -13,9 +13,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.config.BackendRole;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.time.VirtualClock;
 import org.cyclamenpaddle.routing.Fixtures;
@@ -34,7 +34,7 @@
 
     private final VirtualClock mClock = new VirtualClock(0);
     private final Map<AttemptId, Long> mEndsAt = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mGranted = new HashMap<>();
+    private final Map<AttemptId, GrantRequest> mGranted = new HashMap<>();
     private final Set<AttemptId> mEnded = new HashSet<>();
 
     private UniformRandomProvider mRandom;
@@ -74,9 +74,9 @@
     }
 
     private void requestGrant(int number) {
-        GrantAsk request = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
-        GrantAnswer response = mLedger.request(request, now());
-        GrantAnswer again = mLedger.request(request, now());
+        GrantRequest request = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
+        GrantResponse response = mLedger.request(request, now());
+        GrantResponse again = mLedger.request(request, now());
         boolean granted = response.decision() == GrantDecision.GRANTED;
         if (granted) {
             assertEquals(again, response, "requested twice");
@@ -92,9 +92,9 @@
         }
     }
 
-    private GrantAsk promised(GrantAsk request, GrantAnswer response) {
+    private GrantRequest promised(GrantRequest request, GrantResponse response) {
         long startsAt = now() + response.startInMillis();
-        return new GrantAsk(
+        return new GrantRequest(
                 request.attempt(),
                 request.backend(),
                 request.role(),
@@ -107,11 +107,11 @@
     }
 
     private void startDue() {
-        List<GrantAsk> due =
+        List<GrantRequest> due =
                 mGranted.values().stream()
                         .filter(request -> request.neededInMillis() <= now())
                         .toList();
-        for (GrantAsk request : due) {
+        for (GrantRequest request : due) {
             if (mEndsAt.size() < SLOTS) {
                 mGranted.remove(request.attempt());
                 mStarts++;
@@ -153,10 +153,10 @@
                 mLedger.request(decodeGrantRequest(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
-        for (GrantAsk request : new ArrayList<>(mGranted.values())) {
+        for (GrantRequest request : new ArrayList<>(mGranted.values())) {
             long startsIn = request.neededInMillis() - now();
             mLedger.register(
-                    new GrantAsk(
+                    new GrantRequest(
                             request.attempt(),
                             request.backend(),
                             request.role(),
@@ -185,8 +185,9 @@
                 .toList();
     }
 
-    private GrantAsk repeated(AttemptId attempt) {
-        return new GrantAsk(attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
+    private GrantRequest repeated(AttemptId attempt) {
+        return new GrantRequest(
+                attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
     }
 
     private GrantLedger newLedger() {
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Set;
 import org.cyclamenpaddle.core.config.BackendRole;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.Fixtures;
 import org.testng.annotations.Test;
 
@@ -52,7 +52,7 @@
         GrantLedger ledger = trained(1);
         ledger.request(decodeGrantRequest(1, 0, 500, 300), 0);
 
-        GrantAnswer second = ledger.request(decodeGrantRequest(2, 100, 500, 300), 0);
+        GrantResponse second = ledger.request(decodeGrantRequest(2, 100, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.GRANTED);
         assertBetween(second.startInMillis(), 300, 330);
@@ -78,7 +78,7 @@
         GrantLedger ledger = trained(1);
         ledger.request(decodeGrantRequest(1, 0, 500, 900), 0);
 
-        GrantAnswer second = ledger.request(decodeGrantRequest(2, 0, 500, 300), 0);
+        GrantResponse second = ledger.request(decodeGrantRequest(2, 0, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.TOO_LATE);
         assertBetween(second.startInMillis(), 900, 960);
@@ -108,9 +108,9 @@
     @Test
     public void repeatedRequestGivesOnePromise() {
         GrantLedger ledger = decode(2);
-        GrantAnswer first = ledger.request(decodeGrantRequest(1, 100, 500, 300), 0);
+        GrantResponse first = ledger.request(decodeGrantRequest(1, 100, 500, 300), 0);
 
-        GrantAnswer again = ledger.request(decodeGrantRequest(1, 100, 500, 300), 40);
+        GrantResponse again = ledger.request(decodeGrantRequest(1, 100, 500, 300), 40);
 
         assertEquals(again.startInMillis(), first.startInMillis() - 40);
         assertEquals(ledger.summary(40).freeSlots(), 1);
@@ -126,9 +126,9 @@
         GrantLedger ledger = decode(1);
         ledger.request(decodeGrantRequest(1, 0, 500, 300), 0);
 
-        GrantAnswer late = ledger.request(decodeGrantRequest(2, 0, 10, 300), 1_000);
+        GrantResponse late = ledger.request(decodeGrantRequest(2, 0, 10, 300), 1_000);
         ledger.release(attempt(1), 1_000);
-        GrantAnswer after = ledger.request(decodeGrantRequest(3, 0, 10, 300), 1_000);
+        GrantResponse after = ledger.request(decodeGrantRequest(3, 0, 10, 300), 1_000);
 
         assertEquals(late.decision(), GrantDecision.TOO_LATE);
         assertEquals(after.decision(), GrantDecision.GRANTED);
@@ -153,7 +153,7 @@
         GrantLedger ledger = trained(20);
         ledger.request(sized(decodeGrantRequest(1, 0, 500, 300), Fixtures.PIECES), 0);
 
-        GrantAnswer second = ledger.request(sized(decodeGrantRequest(2, 0, 500, 100), 50), 0);
+        GrantResponse second = ledger.request(sized(decodeGrantRequest(2, 0, 500, 100), 50), 0);
         assertBetween(second.startInMillis(), 300, 330);
         assertEquals(
                 ledger.request(sized(decodeGrantRequest(3, 0, 500, 100), Fixtures.PIECES + 1), 0)
@@ -188,11 +188,11 @@
         GrantLedger ledger = decode(4);
         ledger.recoverUntil(1_000);
 
-        GrantAnswer unreconciled = ledger.request(decodeGrantRequest(1, 0, 500, 300), 0);
+        GrantResponse unreconciled = ledger.request(decodeGrantRequest(1, 0, 500, 300), 0);
         ledger.observe(List.of(observed(7), observed(8)), 10);
         ledger.register(decodeGrantRequest(9, 50, 500, 300), 20);
-        GrantAnswer reserved = ledger.request(decodeGrantRequest(2, 60, 100, 300), 20);
-        GrantAnswer recovered = ledger.request(decodeGrantRequest(2, 0, 100, 300), 1_000);
+        GrantResponse reserved = ledger.request(decodeGrantRequest(2, 60, 100, 300), 20);
+        GrantResponse recovered = ledger.request(decodeGrantRequest(2, 0, 100, 300), 1_000);
 
         assertEquals(unreconciled.decision(), GrantDecision.UNAVAILABLE);
         assertEquals(unreconciled.startInMillis(), 1_000);
@@ -204,9 +204,9 @@
     public void prefillQueueIsSerialAndSoIsItsLink() {
         GrantLedger ledger = prefill();
 
-        GrantAnswer first = ledger.request(prefillGrantRequest(1, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer second = ledger.request(prefillGrantRequest(2, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer third = ledger.request(prefillGrantRequest(3, 1_000, 300_000_000, 950), 0);
+        GrantResponse first = ledger.request(prefillGrantRequest(1, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse second = ledger.request(prefillGrantRequest(2, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse third = ledger.request(prefillGrantRequest(3, 1_000, 300_000_000, 950), 0);
 
         assertEquals(first.endInMillis(), 400);
         assertEquals(second.startInMillis(), 100);
@@ -282,8 +282,8 @@
                 GrantDecision.GRANTED);
     }
 
-    private static GrantAsk sized(GrantAsk request, int pieces) {
-        return new GrantAsk(
+    private static GrantRequest sized(GrantRequest request, int pieces) {
+        return new GrantRequest(
                 request.attempt(),
                 request.backend(),
                 request.role(),
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -11,8 +11,8 @@
 import java.util.function.LongFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.time.VirtualClock;
 
 /**
@@ -112,8 +112,8 @@
             return;
         }
         mGranted.add(attempt);
-        GrantAnswer response =
-                new GrantAnswer(
+        GrantResponse response =
+                new GrantResponse(
                         attempt,
                         effect.request().backend(),
                         GrantDecision.GRANTED,
@@ -128,8 +128,8 @@
         if (mRandom.nextBoolean()) {
             GrantDecision decision =
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
-            GrantAnswer response =
-                    new GrantAnswer(attempt, effect.request().backend(), decision, 700, 900);
+            GrantResponse response =
+                    new GrantResponse(attempt, effect.request().backend(), decision, 700, 900);
             at(2, now -> mMachine.onGrantResponse(response, now));
         }
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -19,7 +19,7 @@
 import org.cyclamenpaddle.core.id.RequestId;
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.core.id.TeamName;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -151,7 +151,7 @@
         }
 
         @Override
-        public GrantAsk prefillGrantRequest(
+        public GrantRequest prefillGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public GrantAsk decodeGrantRequest(
+        public GrantRequest decodeGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -172,9 +172,10 @@
             return grantRequest(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
         }
 
-        private static GrantAsk grantRequest(
+        private static GrantRequest grantRequest(
                 AttemptId attempt, Choice choice, BackendRole role, long neededIn) {
-            return new GrantAsk(attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
+            return new GrantRequest(
+                    attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
         }
 
         @Override
