--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/PrefillPlan.java
@@ -8,15 +8,15 @@
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.schedule.Interval;
-import org.cyclamenpaddle.routing.schedule.RoomProfile;
 import org.cyclamenpaddle.routing.schedule.SerialSchedule;
+import org.cyclamenpaddle.routing.schedule.UsageProfile;
 
 /**
- * Serial compute, then a transfer over a serial link: prefill engines.
+ * Capacity plan of a prefill engine: serial compute, then a transfer over a serial link.
  *
- * <p>A result holds its memory pieces from the start of its prefill to the end of its transfer.
+ * <p>A result holds its KV cache blocks from the start of its prefill to the end of its transfer.
  */
-final class QueuePlan implements RoomPlan {
+final class PrefillPlan implements CapacityPlan {
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -25,7 +25,7 @@
     private final SerialSchedule<AttemptId> mCompute = new SerialSchedule<>();
     private final LinkBudget mLink;
 
-    QueuePlan(BackendSpec spec, LedgerSettings settings) {
+    PrefillPlan(BackendSpec spec, LedgerSettings settings) {
         mSpec = spec;
         mSettings = settings;
         mLink = new LinkBudget(spec.linkBytesPerSecond());
@@ -33,28 +33,30 @@
 
     @Override
     public Interval preview(
-            GrantRequest ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
-        RoomProfile memory = memory(held, nowMillis);
-        long work = computeMillis(ask.tokens());
-        long from = nowMillis + Math.max(0, ask.neededInMillis()) + backlogMillis(held, nowMillis);
+            GrantRequest request, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+        UsageProfile memory = memoryProfile(held, nowMillis);
+        long computeMillis = computeMillis(request.tokens());
+        long from =
+                nowMillis + Math.max(0, request.neededInMillis()) + backlogMillis(held, nowMillis);
         while (true) {
-            long start = mCompute.earliest(from, work);
-            long end = mLink.preview(start + work, ask.transferBytes()).endMillis();
-            long room =
+            long start = mCompute.earliest(from, computeMillis);
+            long end = mLink.preview(start + computeMillis, request.transferBytes()).endMillis();
+            long memoryFreeAt =
                     memory.earliest(
-                            start, end - start, ask.pieces(), Integer.MAX_VALUE, pieceLimit());
-            if (room <= start) {
+                            start, end - start, request.pieces(), Integer.MAX_VALUE, pieceLimit());
+            if (memoryFreeAt <= start) {
                 return new Interval(start, end);
             }
-            from = room;
+            from = memoryFreeAt;
         }
     }
 
     @Override
-    public void take(GrantRequest ask, Interval span) {
-        long work = computeMillis(ask.tokens());
-        mCompute.reserve(ask.attempt(), span.startMillis(), work);
-        mLink.reserve(ask.attempt(), span.startMillis() + work, ask.transferBytes());
+    public void reserve(GrantRequest request, Interval span) {
+        long computeMillis = computeMillis(request.tokens());
+        mCompute.reserve(request.attempt(), span.startMillis(), computeMillis);
+        mLink.reserve(
+                request.attempt(), span.startMillis() + computeMillis, request.transferBytes());
     }
 
     @Override
@@ -65,23 +67,23 @@
 
     @Override
     public void ended(Reservation reservation, long nowMillis) {
-        // The room of a prefill is bounded by its computed times alone.
+        // Prefill reservations are bounded by their computed times alone.
     }
 
     @Override
-    public void limitSlots(int most) {
-        // Prefill is serial; its slots are no batch.
+    public void limitSlots(int maxSlots) {
+        // Prefill is serial, so slots do not limit it.
     }
 
-    /** A result that is across only after it was needed is as useless as one that starts late. */
+    /** A result that arrives after it was needed is as useless as one that starts late. */
     @Override
-    public boolean tooLate(GrantRequest ask, Interval span, long nowMillis) {
-        return span.endMillis() - nowMillis > ask.latestInMillis();
+    public boolean tooLate(GrantRequest request, Interval span, long nowMillis) {
+        return span.endMillis() - nowMillis > request.latestInMillis();
     }
 
     @Override
-    public void requireRoom(Collection<Reservation> held, Interval span, long nowMillis) {
-        RoomProfile window = new RoomProfile();
+    public void requireCapacity(Collection<Reservation> held, Interval span, long nowMillis) {
+        UsageProfile window = new UsageProfile();
         for (Reservation reservation : held) {
             window.add(
                     Math.max(span.startMillis(), reservation.startMillis()),
@@ -99,15 +101,19 @@
         long queue = mCompute.endOfLast(nowMillis) - nowMillis + backlogMillis(held, nowMillis);
         int freeSlots = Math.max(0, mSpec.slots() - reservedSlots - held.size());
         int freePieces =
-                Math.max(0, mSpec.memoryPieces() - memory(held, nowMillis).peakPieces(nowMillis));
+                Math.max(
+                        0,
+                        mSpec.memoryPieces()
+                                - memoryProfile(held, nowMillis).peakPieces(nowMillis));
         return new LedgerSummary(mSpec.id(), queue, freeSlots, freePieces, true);
     }
 
     /**
      * Returns how far the engine is behind its schedule.
      *
-     * <p>Safeguard: a slow engine's queue would else look empty as soon as the promised times have
-     * passed, and every host would send it more. Each overdue result adds its step.
+     * <p>Safeguard: the queue of a slow engine would otherwise appear empty as soon as the promised
+     * times have passed, and every host would send it more requests. Each overdue result adds the
+     * overdue time.
      */
     private long backlogMillis(Collection<Reservation> held, long nowMillis) {
         long overdue =
@@ -115,8 +121,8 @@
         return overdue * mSettings.overdueMillis();
     }
 
-    private RoomProfile memory(Collection<Reservation> held, long nowMillis) {
-        RoomProfile profile = new RoomProfile();
+    private UsageProfile memoryProfile(Collection<Reservation> held, long nowMillis) {
+        UsageProfile profile = new UsageProfile();
         for (Reservation reservation : held) {
             long end = expectedEnd(reservation, nowMillis);
             profile.add(Math.min(reservation.startMillis(), end), end, reservation.pieces());
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
@@ -61,12 +61,14 @@
                 false);
     }
 
-    public static GrantRequest decodeAsk(long attempt, long needed, long latest, long hold) {
+    public static GrantRequest decodeGrantRequest(
+            long attempt, long needed, long latest, long hold) {
         return new GrantRequest(
                 attempt(attempt), id(1), BackendRole.DECODE, 0, 1, 0, needed, latest, hold);
     }
 
-    public static GrantRequest prefillAsk(long attempt, int tokens, long bytes, long latest) {
+    public static GrantRequest prefillGrantRequest(
+            long attempt, int tokens, long bytes, long latest) {
         return new GrantRequest(
                 attempt(attempt), id(1), BackendRole.PREFILL, tokens, 1, bytes, 0, latest, 0);
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.routing.grant;
 
-import static org.cyclamenpaddle.routing.Fixtures.decodeAsk;
+import static org.cyclamenpaddle.routing.Fixtures.decodeGrantRequest;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Random asks, repeats, late ends, lost ends, engine lists and changes of owner, over a full engine
- * whose attempts run for random times.
+ * Random grant requests, repeats, late and lost releases, engine lists and changes of owner, over a
+ * full engine whose attempts run for random times.
  */
 public class GrantLedgerRandomTest {
 
@@ -60,7 +60,7 @@
             mClock.advance(mRandom.nextInt(20));
             endRunning();
             startDue();
-            ask(step);
+            requestGrant(step);
             if (step % 100 == 0) {
                 mLedger.observe(engineList(), now());
             }
@@ -73,44 +73,54 @@
         assertTrue(mLateStarts < mStarts / 4, mLateStarts + " late of " + mStarts);
     }
 
-    private void ask(int number) {
-        GrantRequest ask = decodeAsk(number, mRandom.nextInt(150), LATEST, 1_000);
-        GrantResponse answer = mLedger.request(ask, now());
-        GrantResponse again = mLedger.request(ask, now());
-        boolean granted = answer.decision() == GrantDecision.GRANTED;
+    private void requestGrant(int number) {
+        GrantRequest request = decodeGrantRequest(number, mRandom.nextInt(150), LATEST, 1_000);
+        GrantResponse response = mLedger.request(request, now());
+        GrantResponse again = mLedger.request(request, now());
+        boolean granted = response.decision() == GrantDecision.GRANTED;
         if (granted) {
-            assertEquals(again, answer, "asked twice");
+            assertEquals(again, response, "requested twice");
         } else {
-            assertEquals(again.decision(), answer.decision(), "refused twice");
-            assertTrue(again.startInMillis() >= answer.startInMillis(), "refused " + again);
+            assertEquals(again.decision(), response.decision(), "refused twice");
+            assertTrue(again.startInMillis() >= response.startInMillis(), "refused " + again);
         }
-        assertEquals(mLedger.attempts().contains(ask.attempt()), granted);
+        assertEquals(mLedger.attempts().contains(request.attempt()), granted);
         if (granted) {
-            assertTrue(answer.startInMillis() <= LATEST, "start " + answer);
-            assertTrue(answer.startInMillis() >= ask.neededInMillis(), "start " + answer);
-            mGranted.put(ask.attempt(), promised(ask, answer));
+            assertTrue(response.startInMillis() <= LATEST, "start " + response);
+            assertTrue(response.startInMillis() >= request.neededInMillis(), "start " + response);
+            mGranted.put(request.attempt(), promised(request, response));
         }
     }
 
-    private GrantRequest promised(GrantRequest ask, GrantResponse answer) {
-        long startsAt = now() + answer.startInMillis();
+    private GrantRequest promised(GrantRequest request, GrantResponse response) {
+        long startsAt = now() + response.startInMillis();
         return new GrantRequest(
-                ask.attempt(), ask.backend(), ask.role(), 0, 1, 0, startsAt, LATEST, 1_000);
+                request.attempt(),
+                request.backend(),
+                request.role(),
+                0,
+                1,
+                0,
+                startsAt,
+                LATEST,
+                1_000);
     }
 
     private void startDue() {
         List<GrantRequest> due =
-                mGranted.values().stream().filter(ask -> ask.neededInMillis() <= now()).toList();
-        for (GrantRequest ask : due) {
+                mGranted.values().stream()
+                        .filter(request -> request.neededInMillis() <= now())
+                        .toList();
+        for (GrantRequest request : due) {
             if (mEndsAt.size() < SLOTS) {
-                mGranted.remove(ask.attempt());
+                mGranted.remove(request.attempt());
                 mStarts++;
-                mLateStarts += now() - ask.neededInMillis() > 100 ? 1 : 0;
-                mEndsAt.put(ask.attempt(), now() + 100 + mRandom.nextInt(1_800));
-            } else if (now() - ask.neededInMillis() > LATEST) {
-                mGranted.remove(ask.attempt());
+                mLateStarts += now() - request.neededInMillis() > 100 ? 1 : 0;
+                mEndsAt.put(request.attempt(), now() + 100 + mRandom.nextInt(1_800));
+            } else if (now() - request.neededInMillis() > LATEST) {
+                mGranted.remove(request.attempt());
                 mLateStarts++;
-                end(ask.attempt());
+                release(request.attempt());
             }
         }
     }
@@ -122,16 +132,16 @@
             mEndsAt.remove(attempt);
             boolean lost = mRandom.nextInt(50) == 0;
             if (!lost) {
-                end(attempt);
+                release(attempt);
             }
         }
     }
 
-    private void end(AttemptId attempt) {
+    private void release(AttemptId attempt) {
         mLedger.release(attempt, now());
         mEnded.add(attempt);
         assertEquals(
-                mLedger.request(again(attempt), now()).decision(),
+                mLedger.request(repeated(attempt), now()).decision(),
                 GrantDecision.UNAVAILABLE,
                 "ended");
     }
@@ -140,16 +150,16 @@
         mLedger = newLedger();
         mLedger.recoverUntil(now() + 500);
         assertEquals(
-                mLedger.request(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
+                mLedger.request(decodeGrantRequest(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
-        for (GrantRequest ask : new ArrayList<>(mGranted.values())) {
-            long startsIn = ask.neededInMillis() - now();
+        for (GrantRequest request : new ArrayList<>(mGranted.values())) {
+            long startsIn = request.neededInMillis() - now();
             mLedger.register(
                     new GrantRequest(
-                            ask.attempt(),
-                            ask.backend(),
-                            ask.role(),
+                            request.attempt(),
+                            request.backend(),
+                            request.role(),
                             0,
                             1,
                             0,
@@ -175,7 +185,7 @@
                 .toList();
     }
 
-    private GrantRequest again(AttemptId attempt) {
+    private GrantRequest repeated(AttemptId attempt) {
         return new GrantRequest(
                 attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -16,11 +16,12 @@
 import org.cyclamenpaddle.core.time.VirtualClock;
 
 /**
- * Performs a machine's effects on faulty engines and owners, by a seeded random and virtual time.
+ * Performs a state machine's effects on faulty engines and owners, with a seeded random source and
+ * virtual time.
  */
 final class FakeEngines implements RequestEffectHandler {
 
-    static final int ANSWER_TOKENS = 12;
+    static final int RESPONSE_TOKENS = 12;
     private static final long TOKEN_MILLIS = 20;
 
     private record Event(long at, long order, LongFunction<List<RequestEffect>> deliver) {}
@@ -32,10 +33,10 @@
     private final UniformRandomProvider mRandom;
     private final double mFaultShare;
     private final Map<AttemptId, Integer> mHolding = new HashMap<>();
-    private final Map<AttemptId, Integer> mIncarnationOfStream = new HashMap<>();
+    private final Map<AttemptId, Integer> mStreamNumbers = new HashMap<>();
     private final Map<AttemptId, Integer> mLength = new HashMap<>();
     private final Set<AttemptId> mGranted = new HashSet<>();
-    private final List<String> mAnswer = new ArrayList<>();
+    private final List<String> mReceivedTokens = new ArrayList<>();
     private final List<RequestEffect> mFinals = new ArrayList<>();
     private RequestMachine mMachine;
     private long mOrder;
@@ -63,8 +64,8 @@
         }
     }
 
-    List<String> answer() {
-        return mAnswer;
+    List<String> receivedTokens() {
+        return mReceivedTokens;
     }
 
     List<RequestEffect> finals() {
@@ -111,7 +112,7 @@
             return;
         }
         mGranted.add(attempt);
-        GrantResponse answer =
+        GrantResponse response =
                 new GrantResponse(
                         attempt,
                         effect.request().backend(),
@@ -119,7 +120,7 @@
                         effect.request().neededInMillis() + mRandom.nextInt(50),
                         effect.request().neededInMillis() + 100);
         if (!fault()) {
-            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(answer, now));
+            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(response, now));
         }
     }
 
@@ -127,9 +128,9 @@
         if (mRandom.nextBoolean()) {
             GrantDecision decision =
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
-            GrantResponse answer =
+            GrantResponse response =
                     new GrantResponse(attempt, effect.request().backend(), decision, 700, 900);
-            at(2, now -> mMachine.onGrantResponse(answer, now));
+            at(2, now -> mMachine.onGrantResponse(response, now));
         }
     }
 
@@ -163,7 +164,7 @@
                             StepFailure.UNREACHABLE,
                             StepFailure.BROKEN);
             if (failure == StepFailure.FULL) {
-                // By the protocol a full engine has started nothing, and so holds nothing.
+                // By the protocol a full engine has started nothing and so holds nothing.
                 mHolding.remove(attempt);
             }
             at(10, now -> mMachine.onStreamFailed(attempt, failure, now));
@@ -179,9 +180,9 @@
         stream(attempt, effect.firstIndex(), 40);
     }
 
-    /** Delivers tokens from an index; an older stream of the attempt falls silent. */
+    /** Delivers tokens from an index; an older stream of the attempt stops. */
     private void stream(AttemptId attempt, int from, long delay) {
-        int life = mIncarnationOfStream.merge(attempt, 1, Integer::sum);
+        int streamNumber = mStreamNumbers.merge(attempt, 1, Integer::sum);
         long when = delay;
         for (int index = from; index < mLength.get(attempt); index++) {
             if (fault()) {
@@ -193,9 +194,9 @@
             }
             int current = index;
             boolean twice = fault();
-            at(when, now -> deliver(attempt, life, current, now));
+            at(when, now -> deliver(attempt, streamNumber, current, now));
             if (twice) {
-                at(when + 5, now -> deliver(attempt, life, current, now));
+                at(when + 5, now -> deliver(attempt, streamNumber, current, now));
             }
             when += TOKEN_MILLIS;
         }
@@ -204,8 +205,8 @@
         }
     }
 
-    private List<RequestEffect> deliver(AttemptId attempt, int life, int index, long now) {
-        boolean current = mIncarnationOfStream.get(attempt) == life;
+    private List<RequestEffect> deliver(AttemptId attempt, int streamNumber, int index, long now) {
+        boolean current = mStreamNumbers.get(attempt) == streamNumber;
         return current ? mMachine.onToken(attempt, index, token(index), now) : List.of();
     }
 
@@ -231,7 +232,7 @@
 
     @Override
     public void emit(RequestEffect.Emit effect) {
-        mAnswer.add(effect.text());
+        mReceivedTokens.add(effect.text());
     }
 
     @Override
@@ -256,6 +257,6 @@
 
     @Override
     public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
-        // Counted by the engines themselves where it matters.
+        // Wasted prefill is counted by the engines where it matters.
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -27,7 +27,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Seeded random runs of single requests: {@code -Drequest.seed=S -Drequest.runs=N} for other ones.
+ * Runs single requests with seeded random faults; {@code -Drequest.seed=S -Drequest.runs=N} selects
+ * other runs.
  */
 public class RequestMachineRandomTest {
 
@@ -40,19 +41,20 @@
         return new Object[][] {{0.0}, {0.02}, {0.15}, {0.5}};
     }
 
-    // The caller sees either the whole answer in order or one refusal, never both or neither.
-    // Grants are lost or late, prefills fail, transfers stall, streams break, skip and repeat, and
-    // callers leave at any step, all by a seeded random. Afterwards no engine holds an attempt and
-    // no owner a grant, since a request that is over has nobody to give them back.
+    // Each request must end with either the complete response in order or one refusal, never with
+    // both or neither. Grants are lost or late, prefills fail, transfers stall, streams break, skip
+    // and repeat, and callers disconnect in any phase, all by a seeded random source. Afterwards no
+    // engine may hold an attempt and no owner a grant, since nothing would release those of a
+    // request that has ended.
     @Test(dataProvider = "faultShares")
     public void everyRequestEndsOnceAndHoldsNothing(double faultShare) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         int finished = 0;
         for (int run = 0; run < RUNS; run++) {
             FakeEngines engines = new FakeEngines(random, faultShare);
-            long leaves = random.nextInt(5) == 0 ? 1 + random.nextInt(900) : 0;
+            long disconnectsAfter = random.nextInt(5) == 0 ? 1 + random.nextInt(900) : 0;
 
-            engines.run(machine(random), leaves);
+            engines.run(machine(random), disconnectsAfter);
 
             finished += check(engines, "seed " + SEED + " run " + run);
         }
@@ -60,17 +62,17 @@
     }
 
     private static int check(FakeEngines engines, String run) {
-        assertEquals(engines.finals().size(), 1, run + " finals " + engines.finals());
+        assertEquals(engines.finals().size(), 1, run + " final effects " + engines.finals());
         List<String> expected =
-                IntStream.range(0, engines.answer().size())
+                IntStream.range(0, engines.receivedTokens().size())
                         .mapToObj(FakeEngines::token)
                         .collect(Collectors.toList());
-        assertEquals(engines.answer(), expected, run);
+        assertEquals(engines.receivedTokens(), expected, run);
         assertEquals(engines.held(), Set.of(), run + " still holds engine memory");
         assertEquals(engines.granted(), Set.of(), run + " still holds grants");
         assertTrue(engines.now() < LONGEST_MILLIS, run + " took " + engines.now() + " ms");
         if (engines.finals().get(0) instanceof RequestEffect.Finish) {
-            assertEquals(engines.answer().size(), FakeEngines.ANSWER_TOKENS, run);
+            assertEquals(engines.receivedTokens().size(), FakeEngines.RESPONSE_TOKENS, run);
             return 1;
         }
         return 0;
@@ -85,13 +87,13 @@
                         7L,
                         900,
                         List.of(),
-                        FakeEngines.ANSWER_TOKENS,
+                        FakeEngines.RESPONSE_TOKENS,
                         580,
                         1_000);
         return new RequestMachine(shape, RequestSettings.defaults(), new RandomEnvironment(random));
     }
 
-    /** Four servers of each role; a random one of those not excluded comes first. */
+    /** Four servers of each role; a random one that is not excluded is ranked first. */
     private static final class RandomEnvironment implements RequestEnvironment {
 
         private static final Incarnation HOST = new Incarnation(new HostId("ahm-1"), 1L);
@@ -155,7 +157,7 @@
                 int generated,
                 Choice choice,
                 long millisLeft) {
-            return ask(attempt, choice, BackendRole.PREFILL, 0);
+            return grantRequest(attempt, choice, BackendRole.PREFILL, 0);
         }
 
         @Override
@@ -167,10 +169,10 @@
                 BackendId prefill,
                 long prefillEndInMillis,
                 long millisLeft) {
-            return ask(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
+            return grantRequest(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
         }
 
-        private static GrantRequest ask(
+        private static GrantRequest grantRequest(
                 AttemptId attempt, Choice choice, BackendRole role, long neededIn) {
             return new GrantRequest(
                     attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
@@ -183,12 +185,12 @@
 
         @Override
         public void backendUnreachable(BackendId backend, long now) {
-            // The exclusion set of the machine is enough here.
+            // The exclusion set of the state machine suffices here.
         }
 
         @Override
         public void backendCrashed(RequestShape shape, BackendId backend, long now) {
-            // The exclusion set of the machine is enough here.
+            // The exclusion set of the state machine suffices here.
         }
     }
 }
