--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -61,9 +61,11 @@
     /** Starts the call; to be run on the serial executor. */
     void start() {
         long deadline = mCall.call().timeoutMillis();
-        mServices.workers().after(deadline, () -> feed(new BookingEvent.Timeout()));
+        mServices.workers().schedule(deadline, () -> feed(new BookingEvent.Timeout()));
         // The first may only have led to an ask of the peers, which must not last for ever.
-        mServices.workers().after(deadline + PEERS_MILLIS, () -> feed(new BookingEvent.Timeout()));
+        mServices
+                .workers()
+                .schedule(deadline + PEERS_MILLIS, () -> feed(new BookingEvent.Timeout()));
         perform(mMachine.start());
     }
 
@@ -98,7 +100,7 @@
             mServices.claims().outcome(outcome.claim(), outcome.outcome());
         } else if (effect instanceof BookingEffect.WakeAt wake) {
             long delay = Math.max(0, wake.millis() - mServices.clock().millis());
-            mServices.workers().after(delay, () -> feed(new BookingEvent.Wake()));
+            mServices.workers().schedule(delay, () -> feed(new BookingEvent.Wake()));
         } else if (effect instanceof BookingEffect.Reply reply) {
             reply(reply.reply());
         }
@@ -107,7 +109,7 @@
     }
 
     private void dispatch(BookingEffect.Dispatch dispatch) {
-        Optional<BackendSpec> chosen = mServices.choice().choose(mCall.service().name(), mTried);
+        Optional<BackendSpec> chosen = mServices.selector().select(mCall.service().name(), mTried);
         if (chosen.isEmpty()) {
             take(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
@@ -115,7 +117,7 @@
         BackendSpec backend = chosen.get();
         mTried.add(backend.id());
         record(DecisionStep.CALL_SENT, backend.id() + " as " + dispatch.attempt());
-        mServices.choice().inFlight(backend.id(), 1);
+        mServices.selector().inFlight(backend.id(), 1);
         mServices
                 .client()
                 .call(backend, request(dispatch.attempt()))
@@ -134,10 +136,10 @@
     }
 
     private void called(BackendSpec backend, PlainResult result) {
-        mServices.choice().inFlight(backend.id(), -1);
+        mServices.selector().inFlight(backend.id(), -1);
         if (result instanceof PlainResult.NothingSent nothing) {
             record(DecisionStep.RETRIED, backend.id() + ": " + nothing.reason());
-            mServices.choice().unreached(backend.id());
+            mServices.selector().onUnreachable(backend.id());
             mServices.metrics().retried(RetryReason.CONNECT_FAILED);
             take(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
@@ -170,8 +172,8 @@
             return;
         }
         mServices
-                .claimers()
-                .ask(ask.holder(), ask.ask())
+                .claimHolders()
+                .query(ask.holder(), ask.ask())
                 .thenAccept(
                         found ->
                                 feed(
@@ -183,8 +185,8 @@
         record(DecisionStep.CLAIM, "platform away, ask all hosts");
         ClaimAnswer own = ownAnswer(ask);
         mServices
-                .claimers()
-                .askAll(ask)
+                .claimHolders()
+                .queryAll(ask)
                 .thenAccept(
                         answers -> {
                             List<ClaimAnswer.State> states = new ArrayList<>(answers.states());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
@@ -87,7 +87,7 @@
     }
 
     /** Answers a peer that met a claim of this host, or that can't read claims. */
-    public CompletableFuture<PeerMessage> onClaimAsk(ClaimAsk ask) {
+    public CompletableFuture<PeerMessage> onClaimRequest(ClaimAsk ask) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         mSerial.execute(() -> answer.complete(answer(ask, Optional.empty())));
         return answer;
@@ -99,7 +99,7 @@
     }
 
     /** Returns calls without an answer, and outcomes that the platform has not kept yet. */
-    public int open() {
+    public int pending() {
         return mOpen.get() + mServices.claims().pending();
     }
 
@@ -116,7 +116,7 @@
         return mTable.answer(
                 new ClaimKey(ask.service(), ask.key()),
                 asking,
-                mServices.claimers().lostLately(mRetentionMillis),
+                mServices.claimHolders().hostLostWithin(mRetentionMillis),
                 mServices.clock().millis());
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
@@ -122,8 +122,8 @@
     }
 
     private CompletableFuture<HttpResponse> repeatable(RequestId id, Target target) {
-        RepeatableCalls.OpenCall call =
-                new RepeatableCalls.OpenCall(
+        RepeatableCalls.RepeatableCall call =
+                new RepeatableCalls.RepeatableCall(
                         target.service(),
                         target.call(),
                         target.pathAndQuery(),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -27,7 +27,7 @@
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.metric.RouterMetrics;
-import org.cyclamenpaddle.router.request.GrantSource;
+import org.cyclamenpaddle.router.request.GrantClient;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.grant.LedgerSettings;
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
@@ -38,7 +38,7 @@
  * <p>A ledger is soft state. When ownership moves, every host registers what it holds with the new
  * owner, which is conservative until it has seen the engine's own list.
  */
-public final class LedgerKeeper implements GrantSource {
+public final class LedgerManager implements GrantClient {
 
     /** Longest wait for another owner's answer, in milliseconds. */
     private static final long ASK_MILLIS = 120;
@@ -65,7 +65,7 @@
      * @param log events
      * @param metrics counts moves of ownership
      */
-    public LedgerKeeper(
+    public LedgerManager(
             Blackboard blackboard,
             HostView hosts,
             PeerLink peers,
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public CompletableFuture<GrantAnswer> ask(GrantAsk ask) {
+    public CompletableFuture<GrantAnswer> request(GrantAsk ask) {
         Optional<HostRecord> owner = spec(ask.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
             return CompletableFuture.completedFuture(answer(ask, GrantDecision.UNAVAILABLE));
@@ -89,7 +89,7 @@
         if (isSelf(owner.get())) {
             return CompletableFuture.completedFuture(decide(ask));
         }
-        return mPeers.ask(owner.get(), ask, ASK_MILLIS)
+        return mPeers.request(owner.get(), ask, ASK_MILLIS)
                 .thenApply(
                         answer ->
                                 answer.isRight() && answer.get() instanceof GrantAnswer granted
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void end(AttemptId attempt, BackendId backend) {
+    public void release(AttemptId attempt, BackendId backend) {
         spec(backend)
                 .flatMap(mHosts::owner)
                 .ifPresent(
@@ -179,7 +179,7 @@
     }
 
     /** Returns how many attempts hold or are promised room, also by a role just left. */
-    public int grants(BackendId backend) {
+    public int grantCount(BackendId backend) {
         return mBlackboard
                 .grants()
                 .read(
@@ -226,7 +226,7 @@
     }
 
     /** Returns the attempts that hold or are promised room in this host's ledgers. */
-    public int heldGrants() {
+    public int totalGrantCount() {
         return mBlackboard
                 .grants()
                 .read(
@@ -301,7 +301,8 @@
         if (last == null || last.equals(name)) {
             return;
         }
-        List<GrantAsk> held = mBlackboard.requests().read(table -> table.askedOn(backend));
+        List<GrantAsk> held =
+                mBlackboard.requests().read(table -> table.grantsRequestedOn(backend));
         if (held.isEmpty()) {
             return;
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -87,12 +87,12 @@
     }
 
     /** Takes a peer's wish that this host tries to reach another. */
-    public void onProbeAsk(HostRecord asker, ProbeAsk ask) {
+    public void onProbeRequest(HostRecord asker, ProbeAsk ask) {
         act(membership -> membership.onProbeAsk(asker, ask, mClock.millis()));
     }
 
     /** Takes what a peer found. */
-    public void onProbeAnswer(ProbeAnswer answer) {
+    public void onProbeResponse(ProbeAnswer answer) {
         act(membership -> membership.onProbeAnswer(answer, mClock.millis()));
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Returns whether some host's memory was lost within the span that ends now. */
-    public boolean lostLately(long spanMillis) {
+    public boolean hostLostWithin(long spanMillis) {
         return mMembership.read(membership -> membership.lostLately(spanMillis, mClock.millis()));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantSource.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
@@ -7,11 +7,11 @@
 import org.cyclamenpaddle.core.message.GrantAsk;
 
 /** Where room on backend servers is asked for: the owner's ledger, on this host or another. */
-public interface GrantSource {
+public interface GrantClient {
 
     /** Asks for room; an owner that can't be reached answers {@code UNAVAILABLE}. */
-    CompletableFuture<GrantAnswer> ask(GrantAsk ask);
+    CompletableFuture<GrantAnswer> request(GrantAsk ask);
 
     /** Gives room back; idempotent. */
-    void end(AttemptId attempt, BackendId backend);
+    void release(AttemptId attempt, BackendId backend);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -45,9 +45,9 @@
     private final Admission mAdmission;
     private final RetryBudget mRetries;
     private final PrefixHints mPrefixes;
-    private final Learning mLearning;
-    private final DomainDistances mDistances;
-    private final LossListener mLosses;
+    private final RequestAccounting mLearning;
+    private final DomainLatencies mDistances;
+    private final BackendFailureListener mLosses;
     private final UniformRandomProvider mRandom;
     private final AtomicLong mAttempts = new AtomicLong();
     private final AtomicLong mTurns = new AtomicLong();
@@ -66,8 +66,8 @@
             Incarnation self,
             FailureDomain domain,
             Blackboard blackboard,
-            Decisions decisions,
-            LossListener losses,
+            RequestPolicies decisions,
+            BackendFailureListener losses,
             UniformRandomProvider random) {
         mSelf = self;
         mDomain = domain;
@@ -76,8 +76,8 @@
         mAdmission = decisions.admission();
         mRetries = decisions.retries();
         mPrefixes = decisions.prefixes();
-        mLearning = decisions.learning();
-        mDistances = decisions.distances();
+        mLearning = decisions.accounting();
+        mDistances = decisions.latencies();
         mLosses = losses;
         mRandom = random;
     }
@@ -96,7 +96,7 @@
     public Optional<Refusal> admit(RequestShape shape, long now) {
         Optional<Long> quarantined =
                 mBlackboard
-                        .suspects()
+                        .quarantine()
                         .read(table -> table.quarantinedMillis(shape.fingerprint(), now));
         if (quarantined.isPresent()) {
             return quarantined.map(
@@ -181,12 +181,12 @@
 
     @Override
     public void backendUnreached(BackendId backend, long now) {
-        mLosses.unreached(backend, now);
+        mLosses.onUnreachable(backend, now);
     }
 
     @Override
     public void backendDied(RequestShape shape, BackendId backend, long now) {
-        mLosses.died(backend, shape.fingerprint(), now);
+        mLosses.onCrash(backend, shape.fingerprint(), now);
     }
 
     private Either<Refusal, List<Choice>> choices(
@@ -211,7 +211,7 @@
 
     private Refusal noChoice(RequestShape shape, long now) {
         return mBlackboard
-                .suspects()
+                .quarantine()
                 .read(table -> table.quarantinedMillis(shape.fingerprint(), now))
                 .map(millis -> new Refusal(RefusalReason.QUARANTINED, "", Math.max(1, millis)))
                 .orElseGet(
@@ -222,7 +222,7 @@
     }
 
     private PlacementRequest request(RequestShape shape, int generated, long millisLeft) {
-        int expected = mLearning.tokens(shape);
+        int expected = mLearning.expectedTokens(shape);
         long tokens = shape.promptTokens() + (long) generated + expected;
         return new PlacementRequest(
                 shape.service(),
@@ -262,13 +262,13 @@
                                                         new BackendView(
                                                                 spec,
                                                                 table.hint(spec.id()),
-                                                                table.hintAge(spec.id(), now),
+                                                                table.hintAgeMillis(spec.id(), now),
                                                                 table.inFlight(spec.id()),
                                                                 excluded.contains(spec.id())
                                                                         || !mayRun(
                                                                                 shape, spec, now),
                                                                 table.suspected(spec.id(), now),
-                                                                mDistances.millis(
+                                                                mDistances.oneWayMillis(
                                                                         mDomain,
                                                                         spec.failureDomain())))
                                         .collect(Collectors.toList()));
@@ -276,7 +276,7 @@
 
     private boolean mayRun(RequestShape shape, BackendSpec spec, long now) {
         return mBlackboard
-                .suspects()
+                .quarantine()
                 .read(
                         table ->
                                 table.mayRun(shape.fingerprint(), spec.id(), now)
