--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/HostView.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/HostView.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.message.HostRecord;
 
-/** The hosts as this host sees them. */
+/** This host's view of the entry hosts. */
 public interface HostView {
 
     /** Returns this host's own record. */
@@ -14,10 +14,10 @@
     /** Returns the hosts that are alive and not leaving, this one included. */
     Collection<HostRecord> alive();
 
-    /** Returns the host that keeps a backend server's ledger; empty if none may. */
+    /** Returns the host that owns a backend server's ledger; empty if no host is eligible. */
     Optional<HostRecord> owner(BackendSpec backend);
 
-    /** Returns whether this host keeps a backend server's ledger. */
+    /** Returns whether this host owns a backend server's ledger. */
     default boolean owns(BackendSpec backend) {
         return owner(backend)
                 .filter(host -> host.incarnation().equals(self().incarnation()))
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -33,17 +33,18 @@
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
 
 /**
- * Keeps the ledgers of the backend servers that this host owns, and asks other owners.
+ * Manages the ledgers of the backend servers that this host owns, and requests grants from other
+ * owners.
  *
- * <p>A ledger is soft state. When ownership moves, every host registers what it holds with the new
- * owner, which is conservative until it has seen the engine's own list.
+ * <p>A ledger is soft state. When ownership moves, every host registers its reservations with the
+ * new owner, which grants conservatively until it has read the engine's own list of attempts.
  */
 public final class LedgerManager implements GrantClient {
 
-    /** Longest wait for another owner's answer, in milliseconds. */
-    private static final long ASK_MILLIS = 120;
+    /** Maximum wait for the response of another owner. */
+    private static final long REQUEST_TIMEOUT_MILLIS = 120;
 
-    /** How long a new owner is conservative, in milliseconds. */
+    /** How long a new owner grants conservatively. */
     private static final long RECOVERY_MILLIS = 1_500;
 
     private final Blackboard mBlackboard;
@@ -56,14 +57,14 @@
     private final Map<BackendId, HostId> mLastOwner = new ConcurrentHashMap<>();
 
     /**
-     * Creates a keeper that owns nothing yet.
+     * Creates a manager that owns no ledgers yet.
      *
      * @param blackboard tables of this host
-     * @param hosts who owns what
-     * @param peers other hosts
+     * @param hosts determines the owner of each backend server
+     * @param peers sends messages to other hosts
      * @param clock time in milliseconds
      * @param log events
-     * @param metrics counts moves of ownership
+     * @param metrics counts ownership changes
      */
     public LedgerManager(
             Blackboard blackboard,
@@ -81,20 +82,20 @@
     }
 
     @Override
-    public CompletableFuture<GrantAnswer> request(GrantAsk ask) {
-        Optional<HostRecord> owner = spec(ask.backend()).flatMap(mHosts::owner);
+    public CompletableFuture<GrantAnswer> request(GrantAsk request) {
+        Optional<HostRecord> owner = spec(request.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
-            return CompletableFuture.completedFuture(answer(ask, GrantDecision.UNAVAILABLE));
+            return CompletableFuture.completedFuture(answer(request, GrantDecision.UNAVAILABLE));
         }
         if (isSelf(owner.get())) {
-            return CompletableFuture.completedFuture(decide(ask));
+            return CompletableFuture.completedFuture(decide(request));
         }
-        return mPeers.request(owner.get(), ask, ASK_MILLIS)
+        return mPeers.request(owner.get(), request, REQUEST_TIMEOUT_MILLIS)
                 .thenApply(
-                        answer ->
-                                answer.isRight() && answer.get() instanceof GrantAnswer granted
+                        response ->
+                                response.isRight() && response.get() instanceof GrantAnswer granted
                                         ? granted
-                                        : answer(ask, GrantDecision.UNAVAILABLE));
+                                        : answer(request, GrantDecision.UNAVAILABLE));
     }
 
     @Override
@@ -112,84 +113,95 @@
                         });
     }
 
-    /** Decides on an ask, of this host or a peer, by this host's ledger. */
-    public GrantAnswer decide(GrantAsk ask) {
-        Optional<BackendSpec> spec = spec(ask.backend());
+    /** Decides on a grant request of this host or a peer, based on this host's ledger. */
+    public GrantAnswer decide(GrantAsk request) {
+        Optional<BackendSpec> spec = spec(request.backend());
         if (spec.isEmpty() || !mHosts.owns(spec.get())) {
-            return answer(ask, GrantDecision.NOT_OWNER);
+            return answer(request, GrantDecision.NOT_OWNER);
         }
-        Optional<BackendRole> role = role(ask.backend());
+        Optional<BackendRole> role = role(request.backend());
         if (role.isEmpty()) {
-            return answer(ask, GrantDecision.UNAVAILABLE);
+            return answer(request, GrantDecision.UNAVAILABLE);
         }
         return mBlackboard
                 .grants()
-                .read(ledgers -> ledger(ledgers, spec.get(), role.get()).ask(ask, mClock.millis()));
+                .read(
+                        ledgers ->
+                                ledger(ledgers, spec.get(), role.get())
+                                        .ask(request, mClock.millis()));
     }
 
-    /** Takes back room. */
+    /** Releases the reservation of an attempt. */
     public void onEnd(GrantEnd end) {
         mBlackboard
                 .grants()
                 .write(
                         ledgers ->
-                                kept(ledgers, end.backend())
+                                ledgersOf(ledgers, end.backend())
                                         .forEach(
                                                 ledger ->
                                                         ledger.end(
                                                                 end.attempt(), mClock.millis())));
     }
 
-    /** Enters what a peer's attempts hold. */
+    /** Registers the reservations of a peer's attempts. */
     public void onRegister(GrantRegister register) {
         register.held()
                 .forEach(
-                        ask ->
-                                spec(ask.backend())
+                        request ->
+                                spec(request.backend())
                                         .filter(mHosts::owns)
-                                        .ifPresent(spec -> registerHeld(spec, ask)));
+                                        .ifPresent(spec -> registerHeld(spec, request)));
     }
 
-    /** Enters what the engine itself says that it holds. */
+    /** Updates the ledger with the attempts that the engine itself lists. */
     public void observe(BackendId backend, List<ObservedAttempt> attempts) {
         mBlackboard
                 .grants()
                 .write(
                         ledgers ->
-                                kept(ledgers, backend)
+                                ledgersOf(ledgers, backend)
                                         .forEach(
                                                 ledger ->
                                                         ledger.observe(attempts, mClock.millis())));
     }
 
-    /** Grants nothing new on a backend server until {@link #open}. */
+    /** Stops granting on a backend server until {@link #open}. */
     public void close(BackendId backend) {
-        mBlackboard.grants().write(ledgers -> kept(ledgers, backend).forEach(GrantLedger::close));
+        mBlackboard
+                .grants()
+                .write(ledgers -> ledgersOf(ledgers, backend).forEach(GrantLedger::close));
     }
 
-    /** Grants again on a backend server, if its ledger has this role. */
+    /** Resumes granting on a backend server, if its ledger has this role. */
     public void open(BackendId backend, BackendRole role) {
         mBlackboard
                 .grants()
                 .write(
                         ledgers ->
-                                kept(ledgers, backend)
+                                ledgersOf(ledgers, backend)
                                         .filter(ledger -> ledger.role() == role)
                                         .forEach(GrantLedger::open));
     }
 
-    /** Returns how many attempts hold or are promised room, also by a role just left. */
+    /**
+     * Returns the number of attempts with a current or future reservation on a backend server,
+     * including those granted in its former role.
+     */
     public int grantCount(BackendId backend) {
         return mBlackboard
                 .grants()
                 .read(
                         ledgers ->
-                                kept(ledgers, backend)
+                                ledgersOf(ledgers, backend)
                                         .mapToInt(ledger -> ledger.attempts().size())
                                         .sum());
     }
 
-    /** Follows the preset in force and the view of the hosts: takes and gives ledgers. */
+    /**
+     * Applies the preset in force and the view of the hosts: creates newly owned ledgers and
+     * releases those owned by other hosts.
+     */
     public synchronized void tick() {
         ConfigurationView view = mBlackboard.view();
         Map<BackendId, BackendSpec> owned =
@@ -198,20 +210,20 @@
                         .flatMap(assignment -> spec(assignment.backend()).stream())
                         .filter(mHosts::owns)
                         .collect(Collectors.toMap(BackendSpec::id, spec -> spec));
-        giveAway(owned);
+        releaseLedgers(owned);
         owned.values().forEach(this::respecify);
-        view.assignments().keySet().forEach(this::followOwner);
-        hintSelf();
+        view.assignments().keySet().forEach(this::registerWithNewOwner);
+        refreshOwnHints();
     }
 
-    /** Returns the backend servers whose ledgers this host keeps. */
+    /** Returns the backend servers whose ledgers this host owns. */
     public List<BackendSpec> owned() {
         return mBlackboard.grants().read(ledgers -> List.copyOf(ledgers.keySet())).stream()
                 .flatMap(id -> spec(id).stream())
                 .collect(Collectors.toList());
     }
 
-    /** Returns what this host's heartbeats tell of its ledgers. */
+    /** Returns the summaries of this host's ledgers for its heartbeats. */
     public List<LedgerSummary> summaries() {
         long now = mClock.millis();
         List<LedgerSummary> summaries =
@@ -222,10 +234,12 @@
                                         ledgers.values().stream()
                                                 .map(ledger -> ledger.summary(now))
                                                 .collect(Collectors.toList()));
-        return summaries.stream().map(summary -> withReach(summary, now)).toList();
+        return summaries.stream().map(summary -> withReachability(summary, now)).toList();
     }
 
-    /** Returns the attempts that hold or are promised room in this host's ledgers. */
+    /**
+     * Returns the number of attempts with a current or future reservation in this host's ledgers.
+     */
     public int totalGrantCount() {
         return mBlackboard
                 .grants()
@@ -236,7 +250,7 @@
                                         .sum());
     }
 
-    private LedgerSummary withReach(LedgerSummary summary, long now) {
+    private LedgerSummary withReachability(LedgerSummary summary, long now) {
         boolean suspected =
                 mBlackboard.backends().read(table -> table.suspected(summary.backend(), now));
         return new LedgerSummary(
@@ -247,7 +261,7 @@
                 summary.reachable() && !suspected);
     }
 
-    private void hintSelf() {
+    private void refreshOwnHints() {
         long now = mClock.millis();
         List<LedgerSummary> summaries = summaries();
         mBlackboard
@@ -255,8 +269,8 @@
                 .write(table -> summaries.forEach(summary -> table.hint(summary, now)));
     }
 
-    private void giveAway(Map<BackendId, BackendSpec> owned) {
-        List<BackendId> given =
+    private void releaseLedgers(Map<BackendId, BackendSpec> owned) {
+        List<BackendId> released =
                 mBlackboard
                         .grants()
                         .read(
@@ -264,7 +278,7 @@
                                         ledgers.keySet().stream()
                                                 .filter(id -> !owned.containsKey(id))
                                                 .collect(Collectors.toList()));
-        for (BackendId backend : given) {
+        for (BackendId backend : released) {
             mBlackboard.grants().write(ledgers -> ledgers.remove(backend));
             mFormerRoles.remove(backend);
             mMetrics.ownershipGiven();
@@ -290,8 +304,8 @@
                                                                 .respecify(spec)));
     }
 
-    /** Registers what this host holds when a ledger has another owner than before. */
-    private void followOwner(BackendId backend) {
+    /** Registers this host's reservations when a ledger has a new owner. */
+    private void registerWithNewOwner(BackendId backend) {
         Optional<HostRecord> owner = spec(backend).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
             return;
@@ -314,7 +328,7 @@
         }
     }
 
-    private void registerHeld(BackendSpec spec, GrantAsk ask) {
+    private void registerHeld(BackendSpec spec, GrantAsk request) {
         role(spec.id())
                 .ifPresent(
                         role ->
@@ -323,25 +337,26 @@
                                         .write(
                                                 ledgers ->
                                                         ledger(ledgers, spec, role)
-                                                                .register(ask, mClock.millis())));
+                                                                .register(
+                                                                        request, mClock.millis())));
     }
 
     private GrantLedger ledger(
             Map<BackendId, GrantLedger> ledgers, BackendSpec spec, BackendRole role) {
-        GrantLedger kept = ledgers.get(spec.id());
-        if (kept != null && kept.role() == role) {
-            return kept;
+        GrantLedger existing = ledgers.get(spec.id());
+        if (existing != null && existing.role() == role) {
+            return existing;
         }
         GrantLedger fresh = new GrantLedger(spec, role, LedgerSettings.DEFAULTS);
         fresh.recoverUntil(mClock.millis() + RECOVERY_MILLIS);
         if (role != BackendRole.PLAIN) {
-            // Until the engine was asked, it may still be set up for something else; work that it
-            // must refuse would come back to the caller as a failed attempt.
+            // Until its state has been read, the engine may still be set up for another service or
+            // role; work that it rejects would surface to the caller as a failed attempt.
             fresh.close();
         }
-        if (kept != null) {
-            // What was granted in the former role must still end before the engine is changed.
-            mFormerRoles.put(spec.id(), kept);
+        if (existing != null) {
+            // Reservations granted in the former role must end before the engine is changed.
+            mFormerRoles.put(spec.id(), existing);
         }
         ledgers.put(spec.id(), fresh);
         mMetrics.ownershipTaken();
@@ -349,9 +364,9 @@
         return fresh;
     }
 
-    private Stream<GrantLedger> kept(Map<BackendId, GrantLedger> ledgers, BackendId backend) {
+    private Stream<GrantLedger> ledgersOf(Map<BackendId, GrantLedger> ledgers, BackendId backend) {
         return Stream.of(ledgers, mFormerRoles)
-                .flatMap(kept -> Optional.ofNullable(kept.get(backend)).stream());
+                .flatMap(byBackend -> Optional.ofNullable(byBackend.get(backend)).stream());
     }
 
     private String lastOwner(BackendId backend) {
@@ -371,14 +386,14 @@
         return host.incarnation().equals(mHosts.self().incarnation());
     }
 
-    private static GrantAnswer answer(GrantAsk ask, GrantDecision decision) {
-        return new GrantAnswer(ask.attempt(), ask.backend(), decision, 0, 0);
+    private static GrantAnswer answer(GrantAsk request, GrantDecision decision) {
+        return new GrantAnswer(request.attempt(), request.backend(), decision, 0, 0);
     }
 
-    /** Returns the answer to a peer's message about grants, if this is one that takes an answer. */
+    /** Handles a peer's message about grants; returns the response if the message expects one. */
     public Optional<PeerMessage> onPeerMessage(PeerMessage message) {
-        if (message instanceof GrantAsk ask) {
-            return Optional.of(decide(ask));
+        if (message instanceof GrantAsk request) {
+            return Optional.of(decide(request));
         }
         if (message instanceof GrantEnd end) {
             onEnd(end);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/PeerLink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/PeerLink.java
@@ -6,13 +6,13 @@
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.peer.net.PeerError;
 
-/** Messages to other entry hosts. */
+/** Sends messages to other entry hosts. */
 public interface PeerLink {
 
-    /** Sends a message that takes no answer. */
+    /** Sends a message that expects no response. */
     void send(HostRecord to, PeerMessage message);
 
-    /** Sends an ask; the future never fails. */
+    /** Sends a request; the future never completes exceptionally. */
     CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/package-info.java
@@ -1,2 +1,2 @@
-/** Ledgers of the backend servers that this host owns, and asks to other owners. */
+/** Ledgers of the backend servers that this host owns, and grant requests to other owners. */
 package org.cyclamenpaddle.router.grant;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/BackendFailureListener.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/BackendFailureListener.java
@@ -2,12 +2,14 @@
 
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** Told when a backend server could not be reached, or died while it ran a request. */
+/**
+ * Receives failures of backend servers: an unreachable server, or a crash while running a request.
+ */
 public interface BackendFailureListener {
 
-    /** Ranks the backend server last for a time. */
+    /** Ranks an unreachable backend server last for some time. */
     void onUnreachable(BackendId backend, long now);
 
-    /** Gives the request with this fingerprint a strike, and tells peers. */
+    /** Records a strike against the request with this fingerprint, and notifies peers. */
     void onCrash(BackendId backend, long fingerprint, long now);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/DomainLatencies.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/DomainLatencies.java
@@ -2,10 +2,10 @@
 
 import org.cyclamenpaddle.core.id.FailureDomain;
 
-/** Tells the one-way time between failure domains. */
+/** Provides the one-way network latency between failure domains. */
 @FunctionalInterface
 public interface DomainLatencies {
 
-    /** Returns the time in milliseconds. */
+    /** Returns the one-way latency in milliseconds. */
     long oneWayMillis(FailureDomain from, FailureDomain to);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/EngineFailures.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/EngineFailures.java
@@ -3,13 +3,13 @@
 import org.cyclamenpaddle.engine.model.EngineFailure;
 import org.cyclamenpaddle.routing.request.StepFailure;
 
-/** Translates what the engine's client says into what the state machine decides by. */
+/** Maps failures of the engine client to the failure kinds of the request state machine. */
 final class EngineFailures {
 
     private EngineFailures() {}
 
-    /** Returns the meaning of a failure that the engine itself reported. */
-    static StepFailure step(EngineFailure failure) {
+    /** Maps a failure that the engine itself reported. */
+    static StepFailure fromEngine(EngineFailure failure) {
         if (failure instanceof EngineFailure.Full) {
             return StepFailure.FULL;
         }
@@ -23,16 +23,16 @@
                 || failure instanceof EngineFailure.Cancelled) {
             return StepFailure.UNKNOWN_ATTEMPT;
         }
-        return broken(failure);
+        return fromConnection(failure);
     }
 
     /**
-     * Returns the meaning of a failure of the connection.
+     * Maps a failure of the connection to the engine.
      *
-     * <p>Each call has a connection of its own, so one that was never opened means that the engine
-     * can't be reached; one that broke later says nothing about the engine.
+     * <p>Each call has its own connection, so a connection that was never established means that
+     * the engine is unreachable; one that broke later says nothing about the engine.
      */
-    static StepFailure broken(EngineFailure failure) {
+    static StepFailure fromConnection(EngineFailure failure) {
         if (failure instanceof EngineFailure.Unreachable unreachable) {
             return unreachable.connected() ? StepFailure.BROKEN : StepFailure.UNREACHABLE;
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
@@ -6,12 +6,15 @@
 import org.cyclamenpaddle.core.message.GrantAnswer;
 import org.cyclamenpaddle.core.message.GrantAsk;
 
-/** Where room on backend servers is asked for: the owner's ledger, on this host or another. */
+/**
+ * Requests and releases reservations on backend servers in the owner's ledger, on this host or a
+ * peer.
+ */
 public interface GrantClient {
 
-    /** Asks for room; an owner that can't be reached answers {@code UNAVAILABLE}. */
-    CompletableFuture<GrantAnswer> request(GrantAsk ask);
+    /** Requests a reservation; completes with {@code UNAVAILABLE} if the owner is unreachable. */
+    CompletableFuture<GrantAnswer> request(GrantAsk request);
 
-    /** Gives room back; idempotent. */
+    /** Releases the reservation of an attempt; idempotent. */
     void release(AttemptId attempt, BackendId backend);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -35,7 +35,7 @@
 import org.cyclamenpaddle.routing.request.RequestShape;
 import org.cyclamenpaddle.routing.retry.RetryBudget;
 
-/** The blackboard of an entry host as the state machines of requests see it. */
+/** Gives request state machines access to the blackboard and the policies of an entry host. */
 public final class HostEnvironment implements RequestEnvironment {
 
     private final Incarnation mSelf;
@@ -45,9 +45,9 @@
     private final Admission mAdmission;
     private final RetryBudget mRetries;
     private final PrefixHints mPrefixes;
-    private final RequestAccounting mLearning;
-    private final DomainLatencies mDistances;
-    private final BackendFailureListener mLosses;
+    private final RequestAccounting mAccounting;
+    private final DomainLatencies mLatencies;
+    private final BackendFailureListener mFailureListener;
     private final UniformRandomProvider mRandom;
     private final AtomicLong mAttempts = new AtomicLong();
     private final AtomicLong mTurns = new AtomicLong();
@@ -58,27 +58,27 @@
      * @param self this host's incarnation, part of every attempt id
      * @param domain this host's failure domain
      * @param blackboard its tables
-     * @param decisions policy, admission, budget and hints
-     * @param losses told of lost backend servers
-     * @param random source of random numbers, used under a lock
+     * @param policies policy, admission, budget and hints
+     * @param failureListener notified of failed backend servers
+     * @param random source of random numbers, guarded by its own monitor
      */
     public HostEnvironment(
             Incarnation self,
             FailureDomain domain,
             Blackboard blackboard,
-            RequestPolicies decisions,
-            BackendFailureListener losses,
+            RequestPolicies policies,
+            BackendFailureListener failureListener,
             UniformRandomProvider random) {
         mSelf = self;
         mDomain = domain;
         mBlackboard = blackboard;
-        mPolicy = decisions.policy();
-        mAdmission = decisions.admission();
-        mRetries = decisions.retries();
-        mPrefixes = decisions.prefixes();
-        mLearning = decisions.accounting();
-        mDistances = decisions.latencies();
-        mLosses = losses;
+        mPolicy = policies.policy();
+        mAdmission = policies.admission();
+        mRetries = policies.retries();
+        mPrefixes = policies.prefixes();
+        mAccounting = policies.accounting();
+        mLatencies = policies.latencies();
+        mFailureListener = failureListener;
         mRandom = random;
     }
 
@@ -102,7 +102,7 @@
             return quarantined.map(
                     millis -> new Refusal(RefusalReason.QUARANTINED, "", Math.max(1, millis)));
         }
-        Optional<Refusal> overLimit = mLearning.begin(shape);
+        Optional<Refusal> overLimit = mAccounting.begin(shape);
         if (overLimit.isPresent()) {
             return overLimit;
         }
@@ -165,7 +165,7 @@
         BackendSpec decode = backends.get(choice.backend());
         BackendSpec source = backends.get(prefill);
         if (decode == null || source == null) {
-            // Deleted since it was ranked; its owner will refuse.
+            // The backend server was deleted after ranking; its owner will reject the request.
             return GrantAsks.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
         }
         return GrantAsks.DEFAULTS.decode(
@@ -181,18 +181,18 @@
 
     @Override
     public void backendUnreached(BackendId backend, long now) {
-        mLosses.onUnreachable(backend, now);
+        mFailureListener.onUnreachable(backend, now);
     }
 
     @Override
     public void backendDied(RequestShape shape, BackendId backend, long now) {
-        mLosses.onCrash(backend, shape.fingerprint(), now);
+        mFailureListener.onCrash(backend, shape.fingerprint(), now);
     }
 
     private Either<Refusal, List<Choice>> choices(
             RequestShape shape, List<Candidate> ranked, long now) {
         if (ranked.isEmpty()) {
-            return Either.left(noChoice(shape, now));
+            return Either.left(noCandidateRefusal(shape, now));
         }
         return Either.right(
                 ranked.stream()
@@ -209,7 +209,7 @@
         return new Candidate(choice.backend(), choice.predictedMillis(), choice.cachedTokens());
     }
 
-    private Refusal noChoice(RequestShape shape, long now) {
+    private Refusal noCandidateRefusal(RequestShape shape, long now) {
         return mBlackboard
                 .quarantine()
                 .read(table -> table.quarantinedMillis(shape.fingerprint(), now))
@@ -218,11 +218,13 @@
                         () ->
                                 Refusal.of(
                                         RefusalReason.NO_BACKEND,
-                                        "No backend server of " + shape.service() + " is left."));
+                                        "No backend server of "
+                                                + shape.service()
+                                                + " is available."));
     }
 
     private PlacementRequest request(RequestShape shape, int generated, long millisLeft) {
-        int expected = mLearning.expectedTokens(shape);
+        int expected = mAccounting.expectedTokens(shape);
         long tokens = shape.promptTokens() + (long) generated + expected;
         return new PlacementRequest(
                 shape.service(),
@@ -268,7 +270,7 @@
                                                                         || !mayRun(
                                                                                 shape, spec, now),
                                                                 table.suspected(spec.id(), now),
-                                                                mDistances.oneWayMillis(
+                                                                mLatencies.oneWayMillis(
                                                                         mDomain,
                                                                         spec.failureDomain())))
                                         .collect(Collectors.toList()));
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ModelRequests.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ModelRequests.java
@@ -12,51 +12,51 @@
 import org.cyclamenpaddle.routing.request.RequestSettings;
 import org.cyclamenpaddle.routing.request.RequestShape;
 
-/** The model requests of this host, from the front's call to the last token. */
+/** Runs the model requests of this host, from the call by the HTTP front end to the last token. */
 public final class ModelRequests {
 
     private final RequestServices mServices;
     private final RequestEnvironment mEnvironment;
     private final RequestSettings mSettings;
     private final StepRecorder mRecorder;
-    private final RequestAccounting mLearning;
+    private final RequestAccounting mAccounting;
     private final Map<RequestId, RequestRun> mRuns = new ConcurrentHashMap<>();
 
     /**
-     * A model request as the front parsed it.
+     * A model request as parsed by the HTTP front end.
      *
-     * @param id identity given by the front
-     * @param service the service addressed
+     * @param id identifier assigned by the HTTP front end
+     * @param service the requested service
      * @param team the caller's team
-     * @param prompt its text
-     * @param maxTokens most tokens to generate
+     * @param prompt text of the prompt
+     * @param maxTokens maximum number of tokens to generate
      */
     public record Call(
             RequestId id, ServiceSpec service, TeamName team, String prompt, int maxTokens) {}
 
     /**
-     * Creates the requests of a host that has none yet.
+     * Creates an instance without requests.
      *
-     * @param services what runs use
-     * @param environment what state machines decide by
+     * @param services services used by every run
+     * @param environment environment of the request state machines
      * @param settings bounds on the steps of a request
-     * @param recorder keeps the steps for operators
-     * @param learning learns from answers
+     * @param recorder records decision steps for operators
+     * @param accounting tracks output lengths and in-flight requests
      */
     public ModelRequests(
             RequestServices services,
             RequestEnvironment environment,
             RequestSettings settings,
             StepRecorder recorder,
-            RequestAccounting learning) {
+            RequestAccounting accounting) {
         mServices = services;
         mEnvironment = environment;
         mSettings = settings;
         mRecorder = recorder;
-        mLearning = learning;
+        mAccounting = accounting;
     }
 
-    /** Starts a request; its answer goes to the sink. */
+    /** Starts a request; its response goes to the sink. */
     public void start(Call call, ResponseSink sink) {
         RequestShape shape = shape(call);
         RequestJournal journal =
@@ -79,11 +79,14 @@
         run.start();
     }
 
-    /** Tells a request that its caller has gone; unknown and ended requests are left alone. */
+    /**
+     * Notifies a request that its caller disconnected; does nothing if the request is unknown or
+     * has ended.
+     */
     public void callerDisconnected(RequestId id) {
         RequestRun run = mRuns.get(id);
         if (run != null) {
-            run.callerGone();
+            run.callerDisconnected();
         }
     }
 
@@ -102,7 +105,7 @@
                 call.service().kvBytesPerToken());
     }
 
-    /** Forgets the run when it ends. */
+    /** Removes the run from the in-flight requests when it ends. */
     private final class ReleasingSink implements ResponseSink {
 
         private final RequestShape mShape;
@@ -121,7 +124,7 @@
         @Override
         public void finished(int tokens, String finishReason) {
             release();
-            mLearning.completed(mShape, tokens);
+            mAccounting.completed(mShape, tokens);
             mSink.finished(tokens, finishReason);
         }
 
@@ -133,7 +136,7 @@
 
         private void release() {
             mRuns.remove(mShape.id());
-            mLearning.end(mShape.id());
+            mAccounting.end(mShape.id());
             mServices.blackboard().requests().write(table -> table.changeInFlight(-1));
         }
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/PrefixCacheListener.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/PrefixCacheListener.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** Learns that an engine has just computed, and so cached, the blocks of a prompt. */
+/** Receives notice that an engine has computed, and so cached, the KV blocks of a prompt. */
 @FunctionalInterface
 public interface PrefixCacheListener {
 
-    /** Takes the chained hashes of the prompt's whole blocks. */
+    /** Called with the chained hashes of the prompt's complete blocks. */
     void onPrefilled(BackendId backend, List<Long> blockHashes);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestAccounting.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestAccounting.java
@@ -7,7 +7,10 @@
 import org.cyclamenpaddle.routing.limit.ConcurrencyLimit;
 import org.cyclamenpaddle.routing.request.RequestShape;
 
-/** What this host learns from its requests and holds against new ones; safe for many threads. */
+/**
+ * Tracks output lengths and in-flight requests of this host, to estimate and limit new requests.
+ * Thread-safe.
+ */
 public final class RequestAccounting {
 
     private final OutputLengthEstimator mLengths;
@@ -15,11 +18,13 @@
     private final int mFallbackTokens;
 
     /**
-     * Creates it with nothing learned.
+     * Creates an instance without observations.
      *
-     * @param lengths estimates answers; reached only through this object
-     * @param limit bounds requests in progress; reached only through this object
-     * @param fallbackTokens most tokens expected of an answer of which nothing is known
+     * @param lengths estimates output lengths; accessed only through this object, which
+     *     synchronizes it
+     * @param limit limits in-flight requests; accessed only through this object, which synchronizes
+     *     it
+     * @param fallbackTokens maximum expected output tokens while no length has been observed
      */
     public RequestAccounting(
             OutputLengthEstimator lengths, ConcurrencyLimit limit, int fallbackTokens) {
@@ -28,24 +33,24 @@
         mFallbackTokens = fallbackTokens;
     }
 
-    /** Returns the expected tokens of an answer, at most those that the caller allowed. */
+    /** Returns the expected number of output tokens, at most the caller's maximum. */
     public synchronized int expectedTokens(RequestShape shape) {
-        int most = Math.min(shape.maxTokens(), mFallbackTokens);
-        int learned = mLengths.expectedTokens(shape.service(), shape.team(), shape.maxTokens());
-        return learned == shape.maxTokens() ? most : learned;
+        int fallback = Math.min(shape.maxTokens(), mFallbackTokens);
+        int estimated = mLengths.expectedTokens(shape.service(), shape.team(), shape.maxTokens());
+        return estimated == shape.maxTokens() ? fallback : estimated;
     }
 
-    /** Counts a request as in progress, or refuses it. */
+    /** Counts a request as in flight, or returns a refusal if a limit is reached. */
     public synchronized Optional<Refusal> begin(RequestShape shape) {
         return mLimit.begin(shape.id(), shape.service(), shape.team());
     }
 
-    /** Counts a request as in progress no more; idempotent. */
+    /** Stops counting a request as in flight; idempotent. */
     public synchronized void end(RequestId request) {
         mLimit.end(request);
     }
 
-    /** Learns the length of a whole answer. */
+    /** Records the output length of a completed request. */
     public synchronized void completed(RequestShape shape, int tokens) {
         mLengths.completed(shape.service(), shape.team(), tokens);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
@@ -14,10 +14,11 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 
 /**
- * Tells of one model request what operators want to know: its steps, and whether it was in time.
+ * Records the decision steps and metrics of one model request, and whether it met its latency
+ * targets.
  *
- * <p>In time means that the first token came within its target, and the tokens after it within
- * theirs on average.
+ * <p>A request is in time if its first token met the first-token target and the later tokens met
+ * the per-token target on average.
  */
 final class RequestJournal {
 
@@ -43,33 +44,33 @@
         mMetrics.requestTaken(service.name());
     }
 
-    void asked(GrantAsk ask) {
+    void grantRequested(GrantAsk request) {
         record(
                 DecisionStep.GRANT_ASKED,
-                ask.role().code()
+                request.role().code()
                         + " on "
-                        + ask.backend()
+                        + request.backend()
                         + " for "
-                        + ask.attempt()
+                        + request.attempt()
                         + " in "
-                        + ask.neededInMillis()
+                        + request.neededInMillis()
                         + " ms, holding "
-                        + ask.holdMillis()
+                        + request.holdMillis()
                         + " ms and "
-                        + ask.pieces()
-                        + " pieces");
+                        + request.pieces()
+                        + " blocks");
     }
 
-    void granted(GrantAnswer answer) {
+    void grantAnswered(GrantAnswer response) {
         record(
                 DecisionStep.GRANT_ANSWERED,
-                answer.decision()
+                response.decision()
                         + " by the owner of "
-                        + answer.backend()
+                        + response.backend()
                         + " from "
-                        + answer.startInMillis()
+                        + response.startInMillis()
                         + " to "
-                        + answer.endInMillis()
+                        + response.endInMillis()
                         + " ms");
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestPolicies.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestPolicies.java
@@ -6,14 +6,14 @@
 import org.cyclamenpaddle.routing.retry.RetryBudget;
 
 /**
- * The decisions that requests of one host share.
+ * Routing policies and estimators shared by the requests of one host.
  *
- * @param policy how candidates are ordered
- * @param admission whether a request is taken at all
- * @param retries budget of retries, locked by its own monitor
- * @param prefixes hints of cached prefixes
- * @param accounting expected lengths and limits
- * @param latencies times between failure domains
+ * @param policy ranks candidate backend servers
+ * @param admission decides whether a request is admitted
+ * @param retries retry budget, guarded by its own monitor
+ * @param prefixes hints about cached prefixes
+ * @param accounting expected output lengths and concurrency limits
+ * @param latencies one-way network latencies between failure domains
  */
 public record RequestPolicies(
         PlacementPolicy policy,
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -25,10 +25,10 @@
 import org.cyclamenpaddle.routing.request.StepFailure;
 
 /**
- * One model request under way: feeds its machine and performs the effects.
+ * Runs one model request: feeds events to its state machine and performs the resulting effects.
  *
  * <p>All events pass through one serial executor, so tokens reach the sink in the order in which
- * the machine emitted them, whichever threads the engines' answers come on.
+ * the state machine emitted them, whichever threads deliver the engines' responses.
  */
 final class RequestRun implements RequestEffectHandler {
 
@@ -41,7 +41,7 @@
     private final RequestJournal mJournal;
     private final ResponseSink mSink;
     private final SerialExecutor mSerial;
-    private final Set<AttemptId> mOpened = new HashSet<>();
+    private final Set<AttemptId> mStartedAttempts = new HashSet<>();
     private Optional<ScheduledFuture<?>> mTimer = Optional.empty();
     private Optional<StreamHandle> mStream = Optional.empty();
 
@@ -65,7 +65,7 @@
         feed(mMachine::start);
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         feed(mMachine::onCallerGone);
     }
 
@@ -82,15 +82,15 @@
 
     @Override
     public void askGrant(RequestEffect.AskGrant effect) {
-        mJournal.asked(effect.ask());
+        mJournal.grantRequested(effect.ask());
         mServices.blackboard().requests().write(table -> table.grantRequested(effect.ask()));
         mServices
                 .grants()
                 .request(effect.ask())
                 .thenAccept(
-                        answer -> {
-                            mJournal.granted(answer);
-                            feed(now -> mMachine.onGrantAnswer(answer, now));
+                        response -> {
+                            mJournal.grantAnswered(response);
+                            feed(now -> mMachine.onGrantAnswer(response, now));
                         });
     }
 
@@ -109,7 +109,7 @@
             feed(now -> mMachine.onPrefillFailed(attempt, StepFailure.FULL, now));
             return;
         }
-        opened(attempt, effect.backend());
+        attemptStarted(attempt, effect.backend());
         PrefillCall call =
                 new PrefillCall(attempt, mPrompt, effect.prior(), PRIORITY, effect.timeoutMillis());
         mServices
@@ -117,8 +117,8 @@
                 .engine(engine.get())
                 .prefill(call)
                 .thenAccept(
-                        answer ->
-                                answer.peek(result -> prefilled(effect, result))
+                        response ->
+                                response.peek(result -> prefilled(effect, result))
                                         .peekLeft(failure -> prefillFailed(effect, failure)));
     }
 
@@ -132,7 +132,7 @@
 
     private void prefillFailed(RequestEffect.StartPrefill effect, EngineFailure failure) {
         mJournal.failed(effect.attempt(), failure);
-        StepFailure step = EngineFailures.step(failure);
+        StepFailure step = EngineFailures.fromEngine(failure);
         feed(now -> mMachine.onPrefillFailed(effect.attempt(), step, now));
     }
 
@@ -145,7 +145,7 @@
             feed(now -> mMachine.onStreamFailed(effect.attempt(), StepFailure.FULL, now));
             return;
         }
-        opened(effect.attempt(), effect.backend());
+        attemptStarted(effect.attempt(), effect.backend());
         PrefillSource from =
                 new PrefillSource(source.get().address(), source.get().port(), effect.source());
         DecodeCall call =
@@ -184,7 +184,7 @@
     @Override
     public void cancel(RequestEffect.Cancel effect) {
         mJournal.step(DecisionStep.CANCELLED, effect.attempt(), effect.backend());
-        closed(effect.attempt());
+        attemptEnded(effect.attempt());
         spec(effect.backend())
                 .ifPresent(engine -> mServices.canceller().cancel(engine, effect.attempt()));
     }
@@ -197,14 +197,14 @@
 
     @Override
     public void finish(RequestEffect.Finish effect) {
-        over();
+        releaseResources();
         mJournal.finished(effect.tokens());
         mSink.finished(effect.tokens(), effect.finishReason());
     }
 
     @Override
     public void refuse(RequestEffect.Refuse effect) {
-        over();
+        releaseResources();
         mJournal.refused(effect.refusal());
         mSink.refused(effect.refusal(), effect.tokensSent());
     }
@@ -238,8 +238,8 @@
         mServices.metrics().prefillWasted(mShape.service(), effect.tokens());
     }
 
-    private void opened(AttemptId attempt, BackendId backend) {
-        mOpened.add(attempt);
+    private void attemptStarted(AttemptId attempt, BackendId backend) {
+        mStartedAttempts.add(attempt);
         mServices.blackboard().backends().write(table -> table.inFlight(backend, 1));
         mServices.blackboard().requests().write(table -> table.started(attempt, backend));
         mServices
@@ -248,15 +248,15 @@
                 .write(table -> table.started(mShape.fingerprint(), backend));
     }
 
-    private void closed(AttemptId attempt) {
+    private void attemptEnded(AttemptId attempt) {
         mServices
                 .blackboard()
                 .requests()
                 .read(table -> table.ended(attempt))
-                .ifPresent(this::leftBackend);
+                .ifPresent(this::detachFromBackend);
     }
 
-    private void leftBackend(BackendId backend) {
+    private void detachFromBackend(BackendId backend) {
         mServices.blackboard().backends().write(table -> table.inFlight(backend, -1));
         mServices
                 .blackboard()
@@ -269,14 +269,17 @@
         mStream = Optional.of(stream);
     }
 
-    private void over() {
+    private void releaseResources() {
         mTimer.ifPresent(timer -> timer.cancel(false));
         mStream.ifPresent(StreamHandle::close);
         mStream = Optional.empty();
-        mOpened.forEach(this::closed);
+        mStartedAttempts.forEach(this::attemptEnded);
     }
 
-    /** Passes the events of one stream on; a stream replaced meanwhile is closed and silent. */
+    /**
+     * Forwards the events of one stream. A stream that has been replaced is closed and delivers no
+     * more events.
+     */
     private final class Listener implements EngineStreamListener {
 
         private final AttemptId mAttempt;
@@ -302,12 +305,12 @@
 
         @Override
         public void onFailed(EngineFailure failure) {
-            failed(EngineFailures.step(failure), failure);
+            failed(EngineFailures.fromEngine(failure), failure);
         }
 
         @Override
         public void onBroken(EngineFailure failure) {
-            failed(EngineFailures.broken(failure), failure);
+            failed(EngineFailures.fromConnection(failure), failure);
         }
 
         private void failed(StepFailure step, EngineFailure failure) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestServices.java
@@ -8,15 +8,15 @@
 import org.cyclamenpaddle.router.worker.Workers;
 
 /**
- * What every run of a request uses.
+ * Services used by every run of a request.
  *
  * @param clock time in milliseconds
- * @param workers pool and timers
+ * @param workers worker pool and timers
  * @param blackboard tables of this host
- * @param clients engines
- * @param canceller cancels until confirmed
- * @param grants ledgers, here or on peers
- * @param prefixes learns which prefixes engines have cached
+ * @param clients engine clients
+ * @param canceller cancels attempts until the engine confirms
+ * @param grants requests grants from ledgers on this host or peers
+ * @param prefixes notified of prefixes that engines have cached
  * @param metrics counters
  */
 public record RequestServices(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ResponseSink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ResponseSink.java
@@ -2,15 +2,18 @@
 
 import org.cyclamenpaddle.core.outcome.Refusal;
 
-/** Where the answer of a model request goes; called by one thread at a time. */
+/** Receives the response to a model request. Methods are called by one thread at a time. */
 public interface ResponseSink {
 
-    /** Takes the next token. */
+    /** Receives the next token. */
     void token(int index, String text);
 
-    /** Ends the answer as whole. */
+    /** Completes the response successfully. */
     void finished(int tokens, String finishReason);
 
-    /** Ends the answer with a refusal; the caller has the first {@code tokensSent} tokens. */
+    /**
+     * Ends the response with a refusal; the first {@code tokensSent} tokens have been sent to the
+     * caller.
+     */
     void refused(Refusal refusal, int tokensSent);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/StepRecorder.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/StepRecorder.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.core.id.RequestId;
 import org.cyclamenpaddle.router.explain.DecisionStep;
 
-/** Keeps what was decided for a request, for operators to ask for. */
+/** Records the decisions made for a request, so that operators can query them. */
 @FunctionalInterface
 public interface StepRecorder {
 
@@ -11,8 +11,8 @@
      * Records one step.
      *
      * @param request the request
-     * @param step where in the way of the request
-     * @param detail with which backend server, attempt or reason
+     * @param step step at which the decision was made
+     * @param detail backend server, attempt or reason of the decision
      */
     void record(RequestId request, DecisionStep step, String detail);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/package-info.java
@@ -1,2 +1,2 @@
-/** Runs model requests: performs what their state machines decide. */
+/** Runs model requests: performs the effects of their state machines. */
 package org.cyclamenpaddle.router.request;
