--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/AttemptsListener.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/AttemptsListener.java
@@ -2,16 +2,16 @@
 
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** Hears what owned engines list as running. */
+/** Receives the attempts that owned engines list as running. */
 @FunctionalInterface
 public interface AttemptsListener {
 
     /**
-     * Takes in an engine's own list.
+     * Called with an engine's own list of attempts.
      *
      * @param engine the engine
-     * @param running attempts that have not ended
-     * @param askedAtMillis reading of this host's clock when the list was asked for
+     * @param running number of attempts that have not ended
+     * @param requestedAtMillis reading of this host's clock when the list was requested
      */
-    void onListed(BackendId engine, int running, long askedAtMillis);
+    void onListed(BackendId engine, int running, long requestedAtMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendClients.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendClients.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.engine.model.EngineClient;
 import org.cyclamenpaddle.engine.model.HttpEngineClient;
 
-/** One client for each engine, made anew when the declaration changes. */
+/** Caches one client per engine, created anew when the engine's declaration changes. */
 public final class BackendClients {
 
     private static final long ENGINE_TIMEOUT_MILLIS = 1_000;
@@ -30,10 +30,10 @@
                 backend, spec -> new HttpEngineClient(mConnections, spec, ENGINE_TIMEOUT_MILLIS));
     }
 
-    /** Forgets clients of declarations that are gone. */
+    /** Removes clients whose declaration no longer exists. */
     public void retain(Iterable<BackendSpec> declared) {
-        java.util.Set<BackendSpec> kept = new java.util.HashSet<>();
-        declared.forEach(kept::add);
-        mClients.keySet().retainAll(kept);
+        java.util.Set<BackendSpec> retained = new java.util.HashSet<>();
+        declared.forEach(retained::add);
+        mClients.keySet().retainAll(retained);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
@@ -11,7 +11,9 @@
 import org.cyclamenpaddle.router.grant.PeerLink;
 import org.cyclamenpaddle.router.request.BackendFailureListener;
 
-/** Ranks lost backend servers last, gives strikes, and tells every live host of them. */
+/**
+ * Ranks failed backend servers last, records strikes, and broadcasts the strikes to all live hosts.
+ */
 public final class BackendFailureReporter implements BackendFailureListener {
 
     private final Blackboard mBlackboard;
@@ -21,11 +23,11 @@
     private final EventLog mLog;
 
     /**
-     * Creates the notices.
+     * Creates a reporter.
      *
      * @param blackboard tables of this host
-     * @param hosts whom to tell
-     * @param peers how
+     * @param hosts hosts to notify
+     * @param peers sends messages to other hosts
      * @param clock time in milliseconds
      * @param log events
      */
@@ -49,18 +51,18 @@
                 mBlackboard
                         .quarantine()
                         .read(table -> table.onBackendDied(backend, List.of(fingerprint), now));
-        notices.forEach(this::tell);
-        notices.forEach(notice -> logged(notice, backend));
+        notices.forEach(this::broadcast);
+        notices.forEach(notice -> logStrike(notice, backend));
     }
 
-    /** Every host is told at once: the resend of a request may come in anywhere. */
-    private void tell(StrikeNotice notice) {
+    /** Notifies every host immediately, since a resent request may arrive at any of them. */
+    private void broadcast(StrikeNotice notice) {
         mHosts.alive().stream()
                 .filter(host -> !host.incarnation().equals(mHosts.self().incarnation()))
                 .forEach(host -> mPeers.send(host, notice));
     }
 
-    private void logged(StrikeNotice notice, BackendId backend) {
+    private void logStrike(StrikeNotice notice, BackendId backend) {
         mLog.log(
                 LogEvent.QUARANTINE_STRIKE,
                 Long.toHexString(notice.fingerprint()),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
@@ -9,16 +9,17 @@
 import org.cyclamenpaddle.router.worker.Workers;
 
 /**
- * Cancels attempts until the engine confirms, or is not declared any more.
+ * Cancels attempts, retrying until the engine confirms or is no longer declared.
  *
- * <p>A cancel that is lost would leave engine memory held for a caller who has gone. The owner of
- * the backend server does not step in while this host lives, so this host must not give up.
+ * <p>A lost cancel would leave engine memory occupied for a caller that has disconnected. The owner
+ * of the backend server does not intervene while this host is alive, so this host must keep
+ * retrying.
  */
 public final class Canceller {
 
-    private static final long FIRST_PAUSE_MILLIS = 50;
-    private static final long LONGEST_PAUSE_MILLIS = 800;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 50;
+    private static final long MAX_RETRY_DELAY_MILLIS = 800;
+    private static final int MAX_BACKOFF_SHIFT = 4;
 
     private final BackendClients mClients;
     private final Blackboard mBlackboard;
@@ -30,9 +31,9 @@
      * Creates a canceller.
      *
      * @param clients engines
-     * @param blackboard tells which backend servers are declared
+     * @param blackboard provides the declared backend servers
      * @param workers timers
-     * @param metrics counts repeated cancels
+     * @param metrics counts retried cancels
      */
     public Canceller(
             BackendClients clients, Blackboard blackboard, Workers workers, RouterMetrics metrics) {
@@ -48,7 +49,7 @@
         attempt(backend, attempt, 0);
     }
 
-    /** Returns the cancels that no engine has confirmed yet. */
+    /** Returns the number of cancels that no engine has confirmed yet. */
     public int pending() {
         return mPending.get();
     }
@@ -67,9 +68,9 @@
             return;
         }
         mMetrics.retried(RetryReason.CANCEL_UNCONFIRMED);
-        long pause = FIRST_PAUSE_MILLIS << Math.min(MOST_DOUBLINGS, failures);
+        long delayMillis = INITIAL_RETRY_DELAY_MILLIS << Math.min(MAX_BACKOFF_SHIFT, failures);
         mWorkers.schedule(
-                Math.min(LONGEST_PAUSE_MILLIS, pause),
+                Math.min(MAX_RETRY_DELAY_MILLIS, delayMillis),
                 () -> attempt(backend, attempt, failures + 1));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
@@ -27,8 +27,8 @@
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
 
 /**
- * Reads the attempts of the engines that this host owns: feeds their ledgers, and cancels what no
- * live host stands for.
+ * Polls the attempts of the engines that this host owns, updates their ledgers, and cancels
+ * attempts that belong to no live host.
  */
 public final class EngineMonitor {
 
@@ -41,17 +41,17 @@
     private final Clock mClock;
     private final EventLog mLog;
     private final Map<BackendId, AttemptReconciler> mReconcilers = new ConcurrentHashMap<>();
-    private final Set<BackendId> mReading = ConcurrentHashMap.newKeySet();
+    private final Set<BackendId> mPolling = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates the monitor.
      *
      * @param ledgers which engines this host owns
      * @param clients engines
-     * @param membership which lives of hosts have ended
+     * @param membership knows which incarnations of hosts have ended
      * @param blackboard tables of this host
-     * @param listener hears how many attempts each engine runs
-     * @param workers pool
+     * @param listener receives the number of running attempts of each engine
+     * @param workers worker pool
      * @param clock time in milliseconds
      * @param log events
      */
@@ -74,7 +74,7 @@
         mLog = log;
     }
 
-    /** Reads every owned engine once; one whose last answer is still out is left alone. */
+    /** Polls every owned engine once, skipping engines with a poll in flight. */
     public void tick() {
         List<BackendSpec> owned = mLedgers.owned();
         mReconcilers
@@ -84,15 +84,15 @@
     }
 
     private void read(BackendSpec engine) {
-        if (!mReading.add(engine.id())) {
+        if (!mPolling.add(engine.id())) {
             return;
         }
-        long askedAt = mClock.millis();
+        long requestedAt = mClock.millis();
         mWorkers.onResult(
                 mClients.engine(engine).attempts(),
-                answer -> {
-                    mReading.remove(engine.id());
-                    answer.peek(listed -> take(engine, listed, askedAt))
+                response -> {
+                    mPolling.remove(engine.id());
+                    response.peek(listed -> onAttempts(engine, listed, requestedAt))
                             .peekLeft(failure -> failed(engine, failure));
                 });
     }
@@ -104,15 +104,15 @@
         }
     }
 
-    private void take(BackendSpec engine, List<EngineAttempt> listed, long askedAt) {
+    private void onAttempts(BackendSpec engine, List<EngineAttempt> listed, long requestedAt) {
         mBlackboard.backends().write(table -> table.answered(engine.id()));
         mLedgers.observe(engine.id(), observed(listed));
-        int running = (int) listed.stream().filter(seen -> !seen.ended()).count();
-        mListener.onListed(engine.id(), running, askedAt);
+        int running = (int) listed.stream().filter(attempt -> !attempt.ended()).count();
+        mListener.onListed(engine.id(), running, requestedAt);
         Set<AttemptId> own = mBlackboard.requests().read(RequestTable::attempts);
         mReconcilers
                 .computeIfAbsent(engine.id(), id -> reconciler())
-                .reconcile(reconcilable(listed), true, own, mMembership::standing, askedAt)
+                .reconcile(reconcilable(listed), true, own, mMembership::standing, requestedAt)
                 .forEach(effect -> perform(engine, effect));
     }
 
@@ -131,24 +131,24 @@
             List<EngineAttempt> listed) {
         return listed.stream()
                 .map(
-                        seen ->
+                        attempt ->
                                 new org.cyclamenpaddle.fleet.recovery.EngineAttempt(
-                                        seen.attempt(), seen.pieces(), seen.ended()))
+                                        attempt.attempt(), attempt.pieces(), attempt.ended()))
                 .collect(Collectors.toList());
     }
 
     private static List<ObservedAttempt> observed(List<EngineAttempt> listed) {
         return listed.stream()
                 .flatMap(
-                        seen ->
-                                role(seen.role())
+                        attempt ->
+                                role(attempt.role())
                                         .map(
                                                 role ->
                                                         new ObservedAttempt(
-                                                                seen.attempt(),
+                                                                attempt.attempt(),
                                                                 role,
-                                                                seen.pieces(),
-                                                                seen.ended()))
+                                                                attempt.pieces(),
+                                                                attempt.ended()))
                                         .stream())
                 .collect(Collectors.toList());
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
@@ -20,30 +20,30 @@
 import org.cyclamenpaddle.routing.placement.PrefixIndex;
 
 /**
- * What is believed of the engines' prefix caches.
+ * Estimates the contents of the engines' prefix caches.
  *
- * <p>Learned from this host's own prefills, and from the cache events of the prefill servers in its
- * own failure domain. Hosts do not exchange it: it is a hint, and the block hashes of all prompts
- * would take more than control may use.
+ * <p>The estimate is derived from this host's own prefills and from the cache events of the prefill
+ * engines in its failure domain. Hosts do not exchange it: it is only a hint, and the block hashes
+ * of all prompts would exceed the bandwidth allotted to control traffic.
  */
 public final class PrefixMonitor implements PrefixHints, PrefixCacheListener {
 
-    private static final int MOST_BLOCKS = 200_000;
+    private static final int MAX_INDEXED_BLOCKS = 200_000;
 
     private final Blackboard mBlackboard;
     private final BackendClients mClients;
     private final Workers mWorkers;
     private final FailureDomain mDomain;
-    private final PrefixIndex mIndex = new PrefixIndex(MOST_BLOCKS);
+    private final PrefixIndex mIndex = new PrefixIndex(MAX_INDEXED_BLOCKS);
     private final Map<BackendId, Long> mLastSequence = new ConcurrentHashMap<>();
-    private final Set<BackendId> mReading = ConcurrentHashMap.newKeySet();
+    private final Set<BackendId> mPolling = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates the monitor.
      *
-     * @param blackboard tells which engines prefill
+     * @param blackboard provides the engines with the prefill role
      * @param clients engines
-     * @param workers pool
+     * @param workers worker pool
      * @param domain this host's failure domain
      */
     public PrefixMonitor(
@@ -54,7 +54,7 @@
         mDomain = domain;
     }
 
-    /** Reads the latest cache events once. */
+    /** Polls the latest cache events once. */
     public void tick() {
         ConfigurationView view = mBlackboard.view();
         view.assignments().values().stream()
@@ -80,29 +80,29 @@
     }
 
     private void read(BackendSpec engine) {
-        if (!mReading.add(engine.id())) {
+        if (!mPolling.add(engine.id())) {
             return;
         }
         mWorkers.onResult(
                 mClients.engine(engine).cacheEvents(mLastSequence.getOrDefault(engine.id(), 0L)),
-                answer -> {
-                    mReading.remove(engine.id());
-                    answer.peek(events -> take(engine.id(), events));
+                response -> {
+                    mPolling.remove(engine.id());
+                    response.peek(events -> onCacheEvents(engine.id(), events));
                 });
     }
 
-    private void take(BackendId engine, CacheEvents events) {
+    private void onCacheEvents(BackendId engine, CacheEvents events) {
         Long last = mLastSequence.put(engine, events.lastSequence());
         synchronized (mIndex) {
-            // A sequence that went back is a new life of the engine, with an empty cache.
+            // A lower sequence number means that the engine has restarted with an empty cache.
             if (last != null && events.lastSequence() < last) {
                 mIndex.forget(engine);
             }
-            mIndex.apply(engine, typed(events), events.lastSequence());
+            mIndex.apply(engine, toIndexEvents(events), events.lastSequence());
         }
     }
 
-    private static List<CacheEvent> typed(CacheEvents events) {
+    private static List<CacheEvent> toIndexEvents(CacheEvents events) {
         return events.events().stream()
                 .map(
                         event ->
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Backend servers as this host reaches them: clients, cancellation, polling. */
+/** Access to backend servers: clients, cancellation of attempts, polling. */
 package org.cyclamenpaddle.router.backend;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -23,26 +23,26 @@
 import org.cyclamenpaddle.router.explain.DecisionStep;
 import org.cyclamenpaddle.router.worker.SerialExecutor;
 
-/** One keyed call under way: feeds its machine and performs the effects. */
+/** Runs one keyed call: feeds events to its state machine and performs the resulting effects. */
 final class BookingRun {
 
-    /** Longest ask of the peers after the deadline, in milliseconds. */
-    private static final long PEERS_MILLIS = 400;
+    /** Maximum duration of a query to the peers after the deadline. */
+    private static final long PEER_QUERY_MILLIS = 400;
 
     private final Bookings.KeyedCall mCall;
     private final BookingServices mServices;
     private final BookingMachine mMachine;
-    private final OwnClaims mOwnClaims;
+    private final LocalClaims mLocalClaims;
     private final SerialExecutor mSerial;
     private final CompletableFuture<BookingReply> mReply = new CompletableFuture<>();
     private final Set<BackendId> mTried = new HashSet<>();
 
-    /** What this host itself knows of a key; called on the serial executor. */
+    /** Looks up a key among this host's own claims; called on the serial executor. */
     @FunctionalInterface
-    interface OwnClaims {
+    interface LocalClaims {
 
-        /** Answers an ask, leaving out the attempt that asks. */
-        ClaimAnswer answer(ClaimAsk ask, Optional<AttemptId> asking);
+        /** Returns the claim state of the key, ignoring the querying attempt. */
+        ClaimAnswer lookUp(ClaimAsk query, Optional<AttemptId> querying);
     }
 
     BookingRun(
@@ -50,35 +50,35 @@
             BookingServices services,
             BookingMachine machine,
             SerialExecutor serial,
-            OwnClaims ownClaims) {
+            LocalClaims localClaims) {
         mCall = call;
         mServices = services;
         mMachine = machine;
         mSerial = serial;
-        mOwnClaims = ownClaims;
+        mLocalClaims = localClaims;
     }
 
     /** Starts the call; to be run on the serial executor. */
     void start() {
         long deadline = mCall.call().timeoutMillis();
         mServices.workers().schedule(deadline, () -> feed(new BookingEvent.Timeout()));
-        // The first may only have led to an ask of the peers, which must not last for ever.
+        // The first timeout may only have started a query to the peers, which must end too.
         mServices
                 .workers()
-                .schedule(deadline + PEERS_MILLIS, () -> feed(new BookingEvent.Timeout()));
+                .schedule(deadline + PEER_QUERY_MILLIS, () -> feed(new BookingEvent.Timeout()));
         perform(mMachine.start());
     }
 
-    /** Completes with what the caller is told. */
+    /** Completes with the reply to the caller. */
     CompletableFuture<BookingReply> reply() {
         return mReply;
     }
 
     private void feed(BookingEvent event) {
-        mSerial.execute(() -> take(event));
+        mSerial.execute(() -> handle(event));
     }
 
-    private void take(BookingEvent event) {
+    private void handle(BookingEvent event) {
         perform(mMachine.on(event, mServices.clock().millis()));
     }
 
@@ -89,29 +89,29 @@
     private void perform(BookingEffect effect) {
         if (effect instanceof BookingEffect.WriteClaim write) {
             record(DecisionStep.CLAIM, mMachine.claim().attempt().value());
-            mServices.claims().claim(write.claim(), verdict -> feed(verdict.event()));
+            mServices.claims().writeClaim(write.claim(), verdict -> feed(verdict.event()));
         } else if (effect instanceof BookingEffect.Dispatch dispatch) {
             dispatch(dispatch);
-        } else if (effect instanceof BookingEffect.AskClaimer ask) {
-            askClaimer(ask);
-        } else if (effect instanceof BookingEffect.AskPeers ask) {
-            askPeers(ask.ask());
+        } else if (effect instanceof BookingEffect.AskClaimer query) {
+            queryHolder(query);
+        } else if (effect instanceof BookingEffect.AskPeers query) {
+            queryPeers(query.ask());
         } else if (effect instanceof BookingEffect.RecordOutcome outcome) {
-            mServices.claims().outcome(outcome.claim(), outcome.outcome());
+            mServices.claims().writeOutcome(outcome.claim(), outcome.outcome());
         } else if (effect instanceof BookingEffect.WakeAt wake) {
             long delay = Math.max(0, wake.millis() - mServices.clock().millis());
             mServices.workers().schedule(delay, () -> feed(new BookingEvent.Wake()));
         } else if (effect instanceof BookingEffect.Reply reply) {
             reply(reply.reply());
         }
-        // SendCall, Abort and ReadClaim ask for nothing here: connecting and writing are one call,
-        // whose result tells whether a byte may have left, and the shard itself reads back.
+        // SendCall, Abort and ReadClaim need no action: connecting and writing are one call, whose
+        // result says whether a byte may have been sent, and the shard itself reads claims back.
     }
 
     private void dispatch(BookingEffect.Dispatch dispatch) {
         Optional<BackendSpec> chosen = mServices.selector().select(mCall.service().name(), mTried);
         if (chosen.isEmpty()) {
-            take(new BookingEvent.ConnectFailedBeforeFirstByte());
+            handle(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
         }
         BackendSpec backend = chosen.get();
@@ -121,7 +121,7 @@
         mServices
                 .client()
                 .call(backend, request(dispatch.attempt()))
-                .thenAccept(result -> mSerial.execute(() -> called(backend, result)));
+                .thenAccept(result -> mSerial.execute(() -> onResult(backend, result)));
     }
 
     private PlainRequest request(AttemptId attempt) {
@@ -135,19 +135,19 @@
                 mCall.call().timeoutMillis());
     }
 
-    private void called(BackendSpec backend, PlainResult result) {
+    private void onResult(BackendSpec backend, PlainResult result) {
         mServices.selector().inFlight(backend.id(), -1);
         if (result instanceof PlainResult.NothingSent nothing) {
             record(DecisionStep.RETRIED, backend.id() + ": " + nothing.reason());
             mServices.selector().onUnreachable(backend.id());
             mServices.metrics().retried(RetryReason.CONNECT_FAILED);
-            take(new BookingEvent.ConnectFailedBeforeFirstByte());
+            handle(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
         }
-        take(new BookingEvent.FirstByteWritten());
+        handle(new BookingEvent.FirstByteWritten());
         if (result instanceof PlainResult.Answered answered) {
             record(DecisionStep.CALL_SENT, backend.id() + ": status " + answered.status());
-            take(
+            handle(
                     new BookingEvent.ResponseComplete(
                             new ClaimAnswer.KeptAnswer(
                                     answered.status(),
@@ -161,19 +161,19 @@
                     mCall.service().name(),
                     backend.id(),
                     mMachine.claim().attempt());
-            take(new BookingEvent.FailedAfterFirstByte());
+            handle(new BookingEvent.FailedAfterFirstByte());
         }
     }
 
-    private void askClaimer(BookingEffect.AskClaimer ask) {
-        record(DecisionStep.CLAIM, "ask " + ask.holder());
-        if (ask.holder().equals(mServices.self())) {
-            take(new BookingEvent.ClaimerAnswered(ownAnswer(ask.ask())));
+    private void queryHolder(BookingEffect.AskClaimer query) {
+        record(DecisionStep.CLAIM, "query " + query.holder());
+        if (query.holder().equals(mServices.self())) {
+            handle(new BookingEvent.ClaimerAnswered(lookUpLocally(query.ask())));
             return;
         }
         mServices
                 .claimHolders()
-                .query(ask.holder(), ask.ask())
+                .query(query.holder(), query.ask())
                 .thenAccept(
                         found ->
                                 feed(
@@ -181,22 +181,22 @@
                                                 .orElseGet(BookingEvent.ClaimerUnreachable::new)));
     }
 
-    private void askPeers(ClaimAsk ask) {
-        record(DecisionStep.CLAIM, "platform away, ask all hosts");
-        ClaimAnswer own = ownAnswer(ask);
+    private void queryPeers(ClaimAsk query) {
+        record(DecisionStep.CLAIM, "platform unreachable, query all hosts");
+        ClaimAnswer local = lookUpLocally(query);
         mServices
                 .claimHolders()
-                .queryAll(ask)
+                .queryAll(query)
                 .thenAccept(
-                        answers -> {
-                            List<ClaimAnswer.State> states = new ArrayList<>(answers.states());
-                            states.add(own.state());
-                            feed(new BookingEvent.PeersAnswered(states, answers.complete()));
+                        peerStates -> {
+                            List<ClaimAnswer.State> states = new ArrayList<>(peerStates.states());
+                            states.add(local.state());
+                            feed(new BookingEvent.PeersAnswered(states, peerStates.complete()));
                         });
     }
 
-    private ClaimAnswer ownAnswer(ClaimAsk ask) {
-        return mOwnClaims.answer(ask, Optional.of(mMachine.claim().attempt()));
+    private ClaimAnswer lookUpLocally(ClaimAsk query) {
+        return mLocalClaims.lookUp(query, Optional.of(mMachine.claim().attempt()));
     }
 
     private void reply(BookingReply reply) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingServices.java
@@ -16,20 +16,20 @@
 import org.cyclamenpaddle.store.objects.ObjectStore;
 
 /**
- * What every keyed call uses.
+ * Services used by every keyed call.
  *
  * @param self this host's incarnation
  * @param clock time in milliseconds
- * @param epochMillis wall-clock time, for retention alone
- * @param workers pool and timers
- * @param newAttempt makes attempt ids
- * @param claims keeps claims
- * @param selector chooses backend servers
+ * @param epochMillis wall-clock time in milliseconds, used only for retention
+ * @param workers worker pool and timers
+ * @param newAttempt creates attempt ids
+ * @param claims stores claims
+ * @param selector selects backend servers
  * @param client calls plain services
- * @param claimHolders asks the hosts that hold claims
+ * @param claimHolders queries the hosts that hold claims
  * @param metrics counters
  * @param log events
- * @param recorder keeps steps for operators
+ * @param recorder records decision steps for operators
  */
 public record BookingServices(
         Incarnation self,
@@ -45,7 +45,7 @@
         EventLog log,
         StepRecorder recorder) {
 
-    /** Returns the keeper of claims over a platform. */
+    /** Creates a claim store on the platform's object store. */
     public static ClaimStore claims(
             ObjectStore store,
             ClaimShardSettings settings,
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
@@ -22,30 +22,30 @@
 import org.cyclamenpaddle.router.worker.SerialExecutor;
 
 /**
- * The keyed calls of this host: at most one run by key.
+ * Runs the keyed calls of this host, at most once per key.
  *
- * <p>All of them pass through one serial executor, since an ask about a key reads the machines of
- * other calls. They are few beside model requests, and their work is short.
+ * <p>All calls share one serial executor, since a query for a key reads the state machines of other
+ * calls. Keyed calls are few compared with model requests, and their work is short.
  */
 public final class Bookings {
 
-    private static final int MOST_KEPT = 20_000;
+    private static final int MAX_RETAINED_BOOKINGS = 20_000;
 
     private final BookingServices mServices;
     private final long mRetentionMillis;
     private final BookingTable mTable;
     private final SerialExecutor mSerial;
-    private final AtomicInteger mOpen = new AtomicInteger();
+    private final AtomicInteger mInFlight = new AtomicInteger();
 
     /**
-     * A keyed call as the front parsed it.
+     * A keyed call as parsed by the HTTP front end.
      *
-     * @param request identity given by the front
+     * @param request identifier assigned by the HTTP front end
      * @param service the plain service
      * @param call the declared call
      * @param key the caller's Idempotency-Key
      * @param pathAndQuery path and query below the service
-     * @param contentType media type of the body, if said
+     * @param contentType media type of the body, if given
      * @param body the body
      */
     public record KeyedCall(
@@ -58,49 +58,53 @@
             byte[] body) {}
 
     /**
-     * Creates the bookings of a host that has none yet.
+     * Creates an instance without calls.
      *
-     * @param services what runs use
-     * @param retentionMillis how long claims are kept, and so callers may send a call again
+     * @param services services used by every call
+     * @param retentionMillis how long claims are retained, and so for how long callers may resend a
+     *     call
      */
     public Bookings(BookingServices services, long retentionMillis) {
         mServices = services;
         mRetentionMillis = retentionMillis;
-        mTable = new BookingTable(MOST_KEPT, retentionMillis);
+        mTable = new BookingTable(MAX_RETAINED_BOOKINGS, retentionMillis);
         mSerial = new SerialExecutor(services.workers());
     }
 
-    /** Starts a keyed call; the future never fails. */
+    /** Starts a keyed call; the future never completes exceptionally. */
     public CompletableFuture<BookingReply> start(KeyedCall call) {
         long now = mServices.clock().millis();
         BookingMachine machine =
                 new BookingMachine(
                         claim(call), BookingSettings.DEFAULTS, now + call.call().timeoutMillis());
-        BookingRun run = new BookingRun(call, mServices, machine, mSerial, this::answer);
-        mOpen.incrementAndGet();
+        BookingRun run = new BookingRun(call, mServices, machine, mSerial, this::lookUp);
+        mInFlight.incrementAndGet();
         mSerial.execute(
                 () -> {
                     mTable.add(machine, now);
                     run.start();
                 });
-        return run.reply().whenComplete((reply, failure) -> mOpen.decrementAndGet());
+        return run.reply().whenComplete((reply, failure) -> mInFlight.decrementAndGet());
     }
 
-    /** Answers a peer that met a claim of this host, or that can't read claims. */
-    public CompletableFuture<PeerMessage> onClaimRequest(ClaimAsk ask) {
-        CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
-        mSerial.execute(() -> answer.complete(answer(ask, Optional.empty())));
-        return answer;
+    /** Responds to a peer that found a claim of this host, or that cannot read claims. */
+    public CompletableFuture<PeerMessage> onClaimRequest(ClaimAsk request) {
+        CompletableFuture<PeerMessage> response = new CompletableFuture<>();
+        mSerial.execute(() -> response.complete(lookUp(request, Optional.empty())));
+        return response;
     }
 
-    /** Lets what waits for the platform try again. */
+    /** Retries changes that wait for the platform. */
     public void tick() {
         mServices.claims().tick();
     }
 
-    /** Returns calls without an answer, and outcomes that the platform has not kept yet. */
+    /**
+     * Returns the number of in-flight calls plus the claim changes not yet confirmed by the
+     * platform.
+     */
     public int pending() {
-        return mOpen.get() + mServices.claims().pending();
+        return mInFlight.get() + mServices.claims().pending();
     }
 
     private ClaimRecord claim(KeyedCall call) {
@@ -112,20 +116,20 @@
                 mServices.epochMillis().getAsLong());
     }
 
-    private ClaimAnswer answer(ClaimAsk ask, Optional<AttemptId> asking) {
+    private ClaimAnswer lookUp(ClaimAsk request, Optional<AttemptId> querying) {
         return mTable.answer(
-                new ClaimKey(ask.service(), ask.key()),
-                asking,
+                new ClaimKey(request.service(), request.key()),
+                querying,
                 mServices.claimHolders().hostLostWithin(mRetentionMillis),
                 mServices.clock().millis());
     }
 
-    /** Returns the text of a body that keeps each of its bytes. */
+    /** Encodes a body losslessly as text, one character per byte. */
     static String text(byte[] body) {
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** Returns the bytes of a text made by {@link #text}. */
+    /** Decodes a text encoded by {@link #text}. */
     public static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimHolders.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimHolders.java
@@ -7,14 +7,14 @@
 import org.cyclamenpaddle.core.message.ClaimAnswer;
 import org.cyclamenpaddle.core.message.ClaimAsk;
 
-/** Asks other hosts about keys. */
+/** Queries other hosts for their claims of idempotency keys. */
 public interface ClaimHolders {
 
     /**
-     * What all other hosts know of a key.
+     * Claim states of a key on the other hosts.
      *
-     * @param states what each one that answered knows
-     * @param complete whether every host of the view answered and none was lost lately
+     * @param states claim state on each host that responded
+     * @param complete whether every host of the view responded and none was lost recently
      */
     record PeerStates(List<ClaimAnswer.State> states, boolean complete) {
 
@@ -23,12 +23,18 @@
         }
     }
 
-    /** Completes with a holder's answer; empty if that incarnation is dead or does not answer. */
-    CompletableFuture<Optional<ClaimAnswer>> query(Incarnation holder, ClaimAsk ask);
+    /**
+     * Completes with the response of a claim holder; empty if that incarnation is dead or does not
+     * respond.
+     */
+    CompletableFuture<Optional<ClaimAnswer>> query(Incarnation holder, ClaimAsk query);
 
-    /** Completes with what every other host of the view knows. */
-    CompletableFuture<PeerStates> queryAll(ClaimAsk ask);
+    /** Completes with the claim states on all other hosts of the view. */
+    CompletableFuture<PeerStates> queryAll(ClaimAsk query);
 
-    /** Returns whether some host's memory was lost within the span that ends now. */
+    /**
+     * Returns whether the in-memory state of any host was lost within the last {@code spanMillis}
+     * milliseconds.
+     */
     boolean hostLostWithin(long spanMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
@@ -28,7 +28,7 @@
 import org.cyclamenpaddle.store.objects.WritePrecondition;
 import org.cyclamenpaddle.store.objects.WriteResult;
 
-/** Keeps claims in the platform: performs what each {@link ClaimShard} decides. */
+/** Stores claims in the platform: performs the effects of each {@link ClaimShard}. */
 public final class ClaimStore {
 
     private static final String PREFIX = "claims/";
@@ -41,7 +41,8 @@
     private final LongSupplier mEpochMillis;
     private final PlatformHealth mHealth;
     private final Map<Integer, Shard> mShards = new ConcurrentHashMap<>();
-    private final Map<AttemptId, Consumer<ClaimVerdict>> mWaiting = new ConcurrentHashMap<>();
+    private final Map<AttemptId, Consumer<ClaimVerdict>> mPendingVerdicts =
+            new ConcurrentHashMap<>();
 
     ClaimStore(
             ObjectStore store,
@@ -60,23 +61,23 @@
         mHealth = health;
     }
 
-    /** Has a claim written; the verdict comes on a worker. */
-    void claim(ClaimRecord claim, Consumer<ClaimVerdict> verdict) {
-        mWaiting.put(claim.attempt(), verdict);
+    /** Writes a claim; the verdict is delivered on a worker thread. */
+    void writeClaim(ClaimRecord claim, Consumer<ClaimVerdict> verdict) {
+        mPendingVerdicts.put(claim.attempt(), verdict);
         shard(claim).run(shard -> shard.claim(claim, mEpochMillis.getAsLong()));
     }
 
-    /** Has an outcome written, in the background until it is kept. */
-    void outcome(ClaimRecord claim, ClaimState outcome) {
+    /** Writes an outcome in the background, retrying until it is stored. */
+    void writeOutcome(ClaimRecord claim, ClaimState outcome) {
         shard(claim).run(shard -> shard.outcome(claim, outcome));
     }
 
-    /** Lets shards that found the platform away try again. */
+    /** Retries shards that found the platform unreachable. */
     void tick() {
         mShards.values().forEach(shard -> shard.run(machine -> machine.tick(mClock.millis())));
     }
 
-    /** Returns changes not yet known to be kept. */
+    /** Returns the number of changes not yet confirmed by the platform. */
     int pending() {
         return mShards.values().stream().mapToInt(Shard::pending).sum();
     }
@@ -85,7 +86,7 @@
         return mShards.computeIfAbsent(claim.key().shard(mSettings.shards()), Shard::new);
     }
 
-    /** One shard with the executor that its events pass through. */
+    /** One shard and the serial executor of its events. */
     private final class Shard {
 
         private final int mNumber;
@@ -117,7 +118,7 @@
                 mStore.put(path(), mCodec.encode(write.document()), precondition(write))
                         .thenAccept(this::written);
             } else if (effect instanceof ClaimShardEffect.Settled settled) {
-                Optional.ofNullable(mWaiting.remove(settled.claim().attempt()))
+                Optional.ofNullable(mPendingVerdicts.remove(settled.claim().attempt()))
                         .ifPresent(verdict -> verdict.accept(settled.verdict()));
             }
         }
@@ -128,8 +129,8 @@
                     : WritePrecondition.atVersion(write.baseVersion());
         }
 
-        private void read(Either<PlatformError, Optional<StoredObject>> answer) {
-            answer.peekLeft(this::away)
+        private void read(Either<PlatformError, Optional<StoredObject>> response) {
+            response.peekLeft(this::platformUnreachable)
                     .peek(
                             found -> {
                                 mHealth.answered();
@@ -137,15 +138,15 @@
                             });
         }
 
-        private void written(Either<PlatformError, WriteResult> answer) {
-            if (answer.isLeft()) {
-                failed(answer.getLeft());
+        private void written(Either<PlatformError, WriteResult> response) {
+            if (response.isLeft()) {
+                failed(response.getLeft());
                 return;
             }
             mHealth.answered();
-            if (answer.get() instanceof WriteResult.Written written) {
+            if (response.get() instanceof WriteResult.Written written) {
                 run(shard -> shard.onWritten(written.version()));
-            } else if (answer.get() instanceof WriteResult.Conflict conflict) {
+            } else if (response.get() instanceof WriteResult.Conflict conflict) {
                 Optional<StoredObject> current = conflict.current();
                 run(shard -> shard.onConflict(version(current), document(current)));
             }
@@ -156,11 +157,11 @@
                 mHealth.failed(error);
                 run(ClaimShard::onAnswerLost);
             } else {
-                away(error);
+                platformUnreachable(error);
             }
         }
 
-        private void away(PlatformError error) {
+        private void platformUnreachable(PlatformError error) {
             mHealth.failed(error);
             run(shard -> shard.onPlatformAway(mClock.millis()));
         }
@@ -174,7 +175,7 @@
                     found.map(object -> mCodec.decode(object.value()))
                             .orElseGet(() -> Either.right(ClaimDocument.EMPTY));
             Invariants.require(
-                    document.isRight(), () -> path() + " is damaged: " + document.getLeft());
+                    document.isRight(), () -> path() + " cannot be decoded: " + document.getLeft());
             return document.get();
         }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
@@ -12,27 +12,27 @@
 import org.cyclamenpaddle.router.grant.PeerLink;
 import org.cyclamenpaddle.router.peering.MembershipDriver;
 
-/** Asks about keys over the peer network. */
+/** Queries claim holders over the peer network. */
 public final class PeerClaimHolders implements ClaimHolders {
 
-    private static final long ASK_MILLIS = 500;
+    private static final long QUERY_TIMEOUT_MILLIS = 500;
 
     /**
-     * Above so many hosts no one asks them all: each refused booking of an outage would cost a
-     * message to every host, and "unknown" is a true answer too.
+     * Maximum number of hosts that are all queried. In a larger fleet, each booking refused during
+     * an outage would cost a message to every host, and "unknown" is a correct outcome too.
      */
-    private static final int MOST_HOSTS_ASKED = 64;
+    private static final int MAX_QUERIED_HOSTS = 64;
 
     private final MembershipDriver mMembership;
     private final PeerLink mPeers;
     private final long mRetentionMillis;
 
     /**
-     * Creates the link.
+     * Creates an instance.
      *
      * @param membership the view of the hosts
-     * @param peers messages
-     * @param retentionMillis how long claims are kept
+     * @param peers sends messages to other hosts
+     * @param retentionMillis how long claims are retained
      */
     public PeerClaimHolders(MembershipDriver membership, PeerLink peers, long retentionMillis) {
         mMembership = membership;
@@ -41,34 +41,34 @@
     }
 
     @Override
-    public CompletableFuture<Optional<ClaimAnswer>> query(Incarnation holder, ClaimAsk ask) {
+    public CompletableFuture<Optional<ClaimAnswer>> query(Incarnation holder, ClaimAsk query) {
         Optional<HostRecord> host =
                 mMembership
                         .record(holder.host())
                         .filter(record -> record.incarnation().equals(holder))
                         .filter(record -> record.state() != HostState.DEAD);
-        return host.map(record -> ask(record, ask))
+        return host.map(record -> query(record, query))
                 .orElseGet(() -> CompletableFuture.completedFuture(Optional.empty()));
     }
 
     @Override
-    public CompletableFuture<PeerStates> queryAll(ClaimAsk ask) {
+    public CompletableFuture<PeerStates> queryAll(ClaimAsk query) {
         Incarnation self = mMembership.self().incarnation();
         List<HostRecord> others =
                 mMembership.hosts().stream()
                         .filter(host -> !host.incarnation().equals(self))
                         .collect(Collectors.toList());
-        boolean hopeless =
-                others.size() > MOST_HOSTS_ASKED
+        boolean incomplete =
+                others.size() > MAX_QUERIED_HOSTS
                         || hostLostWithin(mRetentionMillis)
                         || others.stream().anyMatch(host -> host.state() == HostState.DEAD);
-        if (hopeless) {
+        if (incomplete) {
             return CompletableFuture.completedFuture(new PeerStates(List.of(), false));
         }
-        List<CompletableFuture<Optional<ClaimAnswer>>> asked =
-                others.stream().map(host -> ask(host, ask)).collect(Collectors.toList());
-        return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
-                .thenApply(done -> answers(asked));
+        List<CompletableFuture<Optional<ClaimAnswer>>> queries =
+                others.stream().map(host -> query(host, query)).collect(Collectors.toList());
+        return CompletableFuture.allOf(queries.toArray(CompletableFuture[]::new))
+                .thenApply(done -> collectStates(queries));
     }
 
     @Override
@@ -76,22 +76,22 @@
         return mMembership.hostLostWithin(spanMillis);
     }
 
-    private PeerStates answers(List<CompletableFuture<Optional<ClaimAnswer>>> asked) {
+    private PeerStates collectStates(List<CompletableFuture<Optional<ClaimAnswer>>> queries) {
         List<ClaimAnswer.State> states =
-                asked.stream()
-                        .flatMap(answer -> answer.join().stream())
+                queries.stream()
+                        .flatMap(response -> response.join().stream())
                         .map(ClaimAnswer::state)
                         .collect(Collectors.toList());
-        // Read after the answers: a host lost meanwhile may be the one that knew.
-        boolean complete = states.size() == asked.size() && !hostLostWithin(mRetentionMillis);
+        // Checked after the responses: a host lost meanwhile may have held the claim.
+        boolean complete = states.size() == queries.size() && !hostLostWithin(mRetentionMillis);
         return new PeerStates(states, complete);
     }
 
-    private CompletableFuture<Optional<ClaimAnswer>> ask(HostRecord host, ClaimAsk ask) {
-        return mPeers.request(host, ask, ASK_MILLIS)
+    private CompletableFuture<Optional<ClaimAnswer>> query(HostRecord host, ClaimAsk query) {
+        return mPeers.request(host, query, QUERY_TIMEOUT_MILLIS)
                 .thenApply(
-                        answer ->
-                                answer.toJavaOptional()
+                        response ->
+                                response.toJavaOptional()
                                         .filter(ClaimAnswer.class::isInstance)
                                         .map(ClaimAnswer.class::cast));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PlainBackendSelector.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PlainBackendSelector.java
@@ -11,7 +11,10 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 
-/** Chooses an instance of a plain service: reachable, near, least loaded by this host. */
+/**
+ * Selects an instance of a plain service: reachable first, then in this host's failure domain, then
+ * with the fewest in-flight calls of this host.
+ */
 public final class PlainBackendSelector {
 
     private final Blackboard mBlackboard;
@@ -19,7 +22,7 @@
     private final Clock mClock;
 
     /**
-     * Creates the choice.
+     * Creates a selector.
      *
      * @param blackboard tables of this host
      * @param domain this host's failure domain
@@ -31,7 +34,7 @@
         mClock = clock;
     }
 
-    /** Returns an instance that was not tried yet; empty if there is none. */
+    /** Returns the best instance that has not been tried yet; empty if there is none. */
     public Optional<BackendSpec> select(ServiceName service, Set<BackendId> tried) {
         long now = mClock.millis();
         Comparator<BackendSpec> order =
@@ -49,7 +52,7 @@
         mBlackboard.backends().write(table -> table.inFlight(backend, change));
     }
 
-    /** Notes that no connection to an instance could be had. */
+    /** Records that no connection to an instance could be established. */
     public void onUnreachable(BackendId backend) {
         mBlackboard.backends().write(table -> table.suspect(backend, mClock.millis()));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -22,37 +22,40 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.routing.retry.RetryBudget;
 
-/** Calls that may be repeated: tried on another instance after a failure, within the budget. */
+/**
+ * Runs repeatable calls of plain services: a failed call is retried on another instance, within the
+ * retry budget.
+ */
 public final class RepeatableCalls {
 
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
-    private final PlainBackendSelector mChoice;
+    private final PlainBackendSelector mSelector;
     private final PlainServiceClient mClient;
     private final Supplier<AttemptId> mNewAttempt;
     private final RetryBudget mBudget;
     private final RouterMetrics mMetrics;
     private final Clock mClock;
-    private final AtomicInteger mOpen = new AtomicInteger();
+    private final AtomicInteger mInFlight = new AtomicInteger();
 
     /**
-     * Creates the calls.
+     * Creates an instance without calls.
      *
-     * @param choice chooses instances
-     * @param client calls them
-     * @param newAttempt makes attempt ids
-     * @param budget retries, locked by its own monitor
+     * @param selector selects instances
+     * @param client calls instances
+     * @param newAttempt creates attempt ids
+     * @param budget retry budget, guarded by its own monitor
      * @param metrics counters
      * @param clock time in milliseconds
      */
     public RepeatableCalls(
-            PlainBackendSelector choice,
+            PlainBackendSelector selector,
             PlainServiceClient client,
             Supplier<AttemptId> newAttempt,
             RetryBudget budget,
             RouterMetrics metrics,
             Clock clock) {
-        mChoice = choice;
+        mSelector = selector;
         mClient = client;
         mNewAttempt = newAttempt;
         mBudget = budget;
@@ -61,12 +64,12 @@
     }
 
     /**
-     * A repeatable call as the front parsed it.
+     * A repeatable call as parsed by the HTTP front end.
      *
      * @param service the plain service
      * @param call the declared call
      * @param pathAndQuery path and query below the service
-     * @param contentType media type of the body, if said
+     * @param contentType media type of the body, if given
      * @param body the body
      */
     public record RepeatableCall(
@@ -76,25 +79,25 @@
             Optional<String> contentType,
             byte[] body) {}
 
-    /** Makes a call; the future never fails. */
+    /** Starts a call; the future never completes exceptionally. */
     public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(RepeatableCall call) {
         synchronized (mBudget) {
             mBudget.freshRequest(call.service().name(), mClock.millis());
         }
-        mOpen.incrementAndGet();
+        mInFlight.incrementAndGet();
         return attempt(call, mClock.millis() + call.call().timeoutMillis(), new HashSet<>())
-                .whenComplete((answer, failure) -> mOpen.decrementAndGet());
+                .whenComplete((response, failure) -> mInFlight.decrementAndGet());
     }
 
-    /** Returns calls without an answer. */
+    /** Returns the number of in-flight calls. */
     public int pending() {
-        return mOpen.get();
+        return mInFlight.get();
     }
 
     private CompletableFuture<Either<Refusal, PlainResult.Answered>> attempt(
             RepeatableCall call, long deadline, Set<BackendId> tried) {
         long left = deadline - mClock.millis();
-        Optional<BackendSpec> chosen = mChoice.select(call.service().name(), tried);
+        Optional<BackendSpec> chosen = mSelector.select(call.service().name(), tried);
         if (left <= 0 || chosen.isEmpty()) {
             RefusalReason reason =
                     left <= 0 ? RefusalReason.DEADLINE_PASSED : RefusalReason.NO_BACKEND;
@@ -102,7 +105,7 @@
         }
         BackendSpec backend = chosen.get();
         tried.add(backend.id());
-        mChoice.inFlight(backend.id(), 1);
+        mSelector.inFlight(backend.id(), 1);
         return mClient.call(backend, request(call, left))
                 .thenCompose(result -> settle(call, deadline, tried, backend, result));
     }
@@ -124,14 +127,14 @@
             Set<BackendId> tried,
             BackendSpec backend,
             PlainResult result) {
-        mChoice.inFlight(backend.id(), -1);
+        mSelector.inFlight(backend.id(), -1);
         if (result instanceof PlainResult.Answered answered) {
             return CompletableFuture.completedFuture(Either.right(answered));
         }
         if (result instanceof PlainResult.NothingSent) {
-            mChoice.onUnreachable(backend.id());
+            mSelector.onUnreachable(backend.id());
         }
-        if (tried.size() >= MOST_TRIES || !takeRetry(call)) {
+        if (tried.size() >= MAX_ATTEMPTS || !takeRetry(call)) {
             return refused(RefusalReason.BACKEND_FAILED);
         }
         mMetrics.retried(RetryReason.REPEATABLE_CALL_FAILED);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/package-info.java
@@ -1,2 +1,2 @@
-/** Calls of plain services: claims before dispatch, at most one run by key, kept answers. */
+/** Calls of plain services: claims before dispatch, at most one run per key, retained responses. */
 package org.cyclamenpaddle.router.booking;
