--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/EngineDrain.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/EngineDrain.java
@@ -7,14 +7,17 @@
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
 
-/** The drain of one engine before a change: fed by its own list and the owner's ledger. */
+/**
+ * Tracks the drain of one engine before a change, from the engine's own list of attempts and the
+ * owner's ledger.
+ */
 final class EngineDrain {
 
     private final BackendId mEngine;
     private final IntSupplier mGrants;
     private final EventLog mLog;
     private final BackendDrain mDrain;
-    private boolean mWanted;
+    private boolean mActive;
     private long mSinceMillis;
 
     EngineDrain(BackendId engine, IntSupplier grants, EventLog log) {
@@ -24,9 +27,9 @@
         mDrain = new BackendDrain(engine);
     }
 
-    /** Starts; the ledger must be closed already. */
+    /** Starts the drain; the ledger must already be closed. */
     void start(long nowMillis) {
-        mWanted = true;
+        mActive = true;
         mSinceMillis = nowMillis;
         int grants = mGrants.getAsInt();
         mDrain.update(true, grants, 0);
@@ -34,15 +37,15 @@
     }
 
     void end() {
-        mWanted = false;
+        mActive = false;
         mDrain.update(false, 0, 0);
     }
 
-    /** Takes in how many attempts the engine listed as running. */
-    void onListed(int running, long askedAtMillis) {
-        // A list asked for before the ledger was closed may lack work that came after it, whose
-        // grant has ended meanwhile; the engine would be changed under that work.
-        if (!mWanted || askedAtMillis <= mSinceMillis) {
+    /** Handles the number of attempts that the engine listed as running. */
+    void onListed(int running, long requestedAtMillis) {
+        // A list requested before the ledger was closed may miss work that started after it and
+        // whose grant has ended since; the engine would be changed while that work is running.
+        if (!mActive || requestedAtMillis <= mSinceMillis) {
             return;
         }
         mDrain.update(true, mGrants.getAsInt(), running).stream()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/FenceStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/FenceStore.java
@@ -11,7 +11,7 @@
 import org.cyclamenpaddle.store.objects.WritePrecondition;
 import org.cyclamenpaddle.store.objects.WriteResult;
 
-/** Status objects of engines, in the platform. */
+/** Stores the status objects of engines, which hold their fencing tokens, in the platform. */
 public final class FenceStore {
 
     private final ObjectStore mStore;
@@ -29,16 +29,19 @@
      * A status object as read.
      *
      * @param version its version; 0 if there is none
-     * @param status its content; empty if there is none that can be read
+     * @param status its content; empty if it is absent or cannot be parsed
      */
     record Found(long version, Optional<FenceStatus> status) {}
 
     CompletableFuture<Either<PlatformError, Found>> read(BackendId engine) {
         return mStore.get(FenceStatus.path(engine.value()))
-                .thenApply(answer -> answer.map(FenceStore::found));
+                .thenApply(response -> response.map(FenceStore::found));
     }
 
-    /** Returns whether this write took effect; false also if that is not known. */
+    /**
+     * Writes a status object; completes with whether this write took effect, false also if that is
+     * unknown.
+     */
     CompletableFuture<Boolean> take(BackendId engine, long expectedVersion, FenceStatus status) {
         WritePrecondition precondition =
                 expectedVersion == 0
@@ -46,7 +49,9 @@
                         : WritePrecondition.atVersion(expectedVersion);
         return mStore.put(FenceStatus.path(engine.value()), status.text(), precondition)
                 .thenApply(
-                        answer -> answer.isRight() && answer.get() instanceof WriteResult.Written);
+                        response ->
+                                response.isRight()
+                                        && response.get() instanceof WriteResult.Written);
     }
 
     private static Found found(Optional<StoredObject> object) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
@@ -11,29 +11,28 @@
 import org.cyclamenpaddle.fleet.order.EngineSetup;
 import org.cyclamenpaddle.router.backend.AttemptsListener;
 
-/** Brings the engines whose ledgers this host owns in line with the preset in force. */
+/** Reconciles the engines whose ledgers this host owns with the preset in force. */
 public final class OrderDriver implements AttemptsListener {
 
     private final OrderServices mServices;
     private final Map<BackendId, OrderRun> mRuns = new ConcurrentHashMap<>();
 
     /**
-     * Creates a driver that orders nothing yet.
+     * Creates a driver that manages no engines yet.
      *
-     * @param services what it needs of this host
+     * @param services services of this host
      */
     public OrderDriver(OrderServices services) {
         mServices = services;
     }
 
-    /** Follows ownership and the preset in force; called often. */
+    /** Applies the current ownership and the preset in force; called periodically. */
     public void tick() {
         Map<BackendId, BackendSpec> owned =
                 mServices.ledgers().owned().stream()
                         .collect(Collectors.toMap(BackendSpec::id, Function.identity()));
-        // A run is kept when its engine has another owner, since only it knows the shared slots
-        // that
-        // could not be given back yet while the platform was away.
+        // The run of an engine that has moved to another owner is retained, since only it knows the
+        // shared slots that could not be released while the platform was unreachable.
         mRuns.forEach((id, run) -> stopUnless(owned.containsKey(id), run));
         ConfigurationView view = mServices.blackboard().view();
         owned.values()
@@ -41,13 +40,13 @@
                         spec ->
                                 mRuns.computeIfAbsent(
                                                 spec.id(), id -> new OrderRun(mServices, spec))
-                                        .tick(spec, asked(view, spec)));
+                                        .tick(spec, requestedSetup(view, spec)));
     }
 
     @Override
-    public void onListed(BackendId engine, int running, long askedAtMillis) {
+    public void onListed(BackendId engine, int running, long requestedAtMillis) {
         Optional.ofNullable(mRuns.get(engine))
-                .ifPresent(run -> run.onListed(running, askedAtMillis));
+                .ifPresent(run -> run.onListed(running, requestedAtMillis));
     }
 
     private static void stopUnless(boolean owned, OrderRun run) {
@@ -56,7 +55,7 @@
         }
     }
 
-    private static Optional<EngineSetup> asked(ConfigurationView view, BackendSpec spec) {
+    private static Optional<EngineSetup> requestedSetup(ConfigurationView view, BackendSpec spec) {
         return Optional.ofNullable(view.assignments().get(spec.id()))
                 .filter(assignment -> !spec.leaving())
                 .flatMap(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
@@ -25,9 +25,10 @@
 /**
  * Runs the {@link OrderController} of one owned engine, one event at a time.
  *
- * <p>The engine's ledger is open only while its last report matches what is asked. An engine that
- * reports no setup and says that it serves unordered matches whatever is asked: an order would cut
- * off what it runs and load what it needs not, and so take a running deployment down.
+ * <p>The engine's ledger is open only while its last report matches the requested setup. An engine
+ * that reports no setup and serves without orders matches every requested setup: an order would
+ * abort its running work and load a model that it does not need, and so take down a running
+ * deployment.
  */
 final class OrderRun {
 
@@ -43,8 +44,8 @@
     private final EngineDrain mDrain;
     private final SlotHolding mSlots;
     private BackendSpec mSpec;
-    private Optional<EngineSetup> mAsked = Optional.empty();
-    private boolean mReadAgain;
+    private Optional<EngineSetup> mRequestedSetup = Optional.empty();
+    private boolean mRereadState;
 
     OrderRun(OrderServices services, BackendSpec spec) {
         mServices = services;
@@ -58,37 +59,40 @@
         mSlots = new SlotHolding(services.slots(), mEngine);
     }
 
-    void tick(BackendSpec spec, Optional<EngineSetup> asked) {
-        mSerial.execute(() -> ticked(spec, asked));
+    void tick(BackendSpec spec, Optional<EngineSetup> requested) {
+        mSerial.execute(() -> onTick(spec, requested));
     }
 
-    void onListed(int running, long askedAtMillis) {
-        mSerial.execute(() -> mDrain.onListed(running, askedAtMillis));
+    void onListed(int running, long requestedAtMillis) {
+        mSerial.execute(() -> mDrain.onListed(running, requestedAtMillis));
     }
 
-    /** Gives the engine up because this host does not own it; called for as long as that is so. */
+    /**
+     * Stops managing the engine because this host does not own it; called repeatedly while that is
+     * the case.
+     */
     void stop() {
         mSerial.execute(
                 () -> {
-                    mAsked = Optional.empty();
-                    mReadAgain = false;
+                    mRequestedSetup = Optional.empty();
+                    mRereadState = false;
                     perform(mController.stop());
-                    mSlots.giveUp();
+                    mSlots.abandon();
                 });
     }
 
-    private void ticked(BackendSpec spec, Optional<EngineSetup> asked) {
+    private void onTick(BackendSpec spec, Optional<EngineSetup> requested) {
         mSpec = spec;
-        if (!asked.equals(mAsked)) {
-            mAsked = asked;
+        if (!requested.equals(mRequestedSetup)) {
+            mRequestedSetup = requested;
             mServices.ledgers().close(mEngine);
         }
         mSlots.retry();
-        if (mReadAgain) {
-            mReadAgain = false;
+        if (mRereadState) {
+            mRereadState = false;
             readState();
         }
-        perform(mController.tick(asked, mDrain.drained(), now()));
+        perform(mController.tick(requested, mDrain.drained(), now()));
     }
 
     private void perform(List<OrderEffect> effects) {
@@ -117,25 +121,27 @@
     }
 
     private void readState() {
-        engine().state().thenAccept(answer -> mSerial.execute(() -> onState(answer)));
+        engine().state().thenAccept(response -> mSerial.execute(() -> onState(response)));
     }
 
-    private void onState(Either<EngineFailure, EngineState> answer) {
-        if (answer.isLeft()) {
+    private void onState(Either<EngineFailure, EngineState> response) {
+        if (response.isLeft()) {
             perform(mController.onFailed(now()));
             return;
         }
-        EngineState state = answer.get();
+        EngineState state = response.get();
         Optional<EngineSetup> setup = setup(state);
-        boolean matches = setup.equals(mAsked);
+        boolean matches = setup.equals(mRequestedSetup);
         if (state.busy()) {
-            // An engine still loading refuses all work, so its slots and its drain go on.
-            mReadAgain = true;
+            // An engine that is still loading rejects all work, so its slots stay held and its
+            // drain continues.
+            mRereadState = true;
             mServices.ledgers().close(mEngine);
             return;
         }
         if (matches) {
-            mAsked.ifPresent(asked -> mServices.ledgers().open(mEngine, asked.role()));
+            mRequestedSetup.ifPresent(
+                    requested -> mServices.ledgers().open(mEngine, requested.role()));
         } else {
             mServices.ledgers().close(mEngine);
         }
@@ -144,7 +150,7 @@
 
     private Optional<EngineSetup> setup(EngineState state) {
         if (state.service().isEmpty() || state.model().isEmpty() || state.role().isEmpty()) {
-            return state.servesUnordered() ? mAsked : Optional.empty();
+            return state.servesUnordered() ? mRequestedSetup : Optional.empty();
         }
         return Optional.of(
                 new EngineSetup(state.service().get(), state.model().get(), state.role().get()));
@@ -153,19 +159,22 @@
     private void acquire(OrderEffect.AcquireSlots acquire) {
         List<SlotHolding.Slot> slots = new ArrayList<>();
         acquire.leaves()
-                .map(left -> new SlotHolding.Slot(ROLLOUT.path(left), ROLLOUT.limit(serving(left))))
+                .map(
+                        service ->
+                                new SlotHolding.Slot(
+                                        ROLLOUT.path(service), ROLLOUT.limit(serving(service))))
                 .ifPresent(slots::add);
         if (acquire.loadsWeights()) {
             slots.add(new SlotHolding.Slot(WeightLoadBudget.PATH, WEIGHT_LOADS.limit()));
         }
-        mSlots.acquire(slots).thenAccept(had -> mSerial.execute(() -> onSlots(had)));
+        mSlots.acquire(slots).thenAccept(acquired -> mSerial.execute(() -> onSlots(acquired)));
     }
 
-    private void onSlots(boolean had) {
-        if (!had) {
+    private void onSlots(boolean acquired) {
+        if (!acquired) {
             mSlots.release();
         }
-        perform(mController.onSlots(had, now()));
+        perform(mController.onSlots(acquired, now()));
     }
 
     private int serving(ServiceName service) {
@@ -179,13 +188,13 @@
         mServices
                 .fences()
                 .read(mEngine)
-                .thenAccept(answer -> mSerial.execute(() -> onStatus(answer)));
+                .thenAccept(response -> mSerial.execute(() -> onStatus(response)));
     }
 
-    private void onStatus(Either<PlatformError, FenceStore.Found> answer) {
+    private void onStatus(Either<PlatformError, FenceStore.Found> response) {
         List<OrderEffect> effects =
-                answer.fold(
-                        away -> mController.onFailed(now()),
+                response.fold(
+                        error -> mController.onFailed(now()),
                         found -> mController.onStatus(found.version(), found.status(), now()));
         perform(effects);
     }
@@ -203,8 +212,8 @@
 
     private void send(OrderEffect.SendOrder order) {
         EngineSetup setup = order.setup();
-        // A worker paused since the fence was taken could send after a successor has waited this
-        // host's lease out; the engine would then follow the older order.
+        // A worker paused since it took the fencing token could send after a successor has waited
+        // for this host's lease to expire; the engine would then follow the older order.
         if (!mController.maySend(order.fence(), now())) {
             perform(mController.onOrderEnded(now()));
             return;
@@ -223,11 +232,11 @@
                                 setup.model(),
                                 setup.role(),
                                 order.timeoutMillis()))
-                .thenAccept(answer -> mSerial.execute(() -> onOrdered(order.fence(), answer)));
+                .thenAccept(response -> mSerial.execute(() -> onOrdered(order.fence(), response)));
     }
 
-    private void onOrdered(long fence, Either<EngineFailure, EngineState> answer) {
-        answer.peekLeft(
+    private void onOrdered(long fence, Either<EngineFailure, EngineState> response) {
+        response.peekLeft(
                 failure -> mServices.log().log(LogEvent.ORDER_REFUSED, mEngine, failure, fence));
         perform(mController.onOrderEnded(now()));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderServices.java
@@ -9,15 +9,15 @@
 import org.cyclamenpaddle.router.worker.Workers;
 
 /**
- * What orders need of their host.
+ * Services of the host that order runs use.
  *
  * @param self this host
  * @param blackboard the preset in force
- * @param ledgers which engines this host owns, and whether they get new work
- * @param clients engines
- * @param fences fencing numbers
+ * @param ledgers knows which engines this host owns and whether they accept new work
+ * @param clients engine clients
+ * @param fences stores fencing tokens
  * @param slots slots shared by all hosts
- * @param workers pool
+ * @param workers worker pool
  * @param clock time in milliseconds
  * @param log events
  */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotHolding.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotHolding.java
@@ -8,57 +8,60 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * The shared slots that are held for one engine, all or none.
+ * Holds the shared slots of one engine, all or none.
  *
- * <p>Calls come from one thread at a time. Its writes follow one another: a release that overtook a
- * later acquisition would give back a slot that is in use.
+ * <p>Methods must be called by one thread at a time. Writes are performed in order: a release that
+ * overtook a later acquisition would free a slot that is in use.
  */
 final class SlotHolding {
 
     private final SlotStore mStore;
     private final BackendId mEngine;
     private final Set<String> mPaths = ConcurrentHashMap.newKeySet();
-    private CompletableFuture<Boolean> mLast = CompletableFuture.completedFuture(true);
-    private boolean mWanted;
+    private CompletableFuture<Boolean> mLastWrite = CompletableFuture.completedFuture(true);
+    private boolean mRequested;
 
     SlotHolding(SlotStore store, BackendId engine) {
         mStore = store;
         mEngine = engine;
     }
 
-    /** One slot of a path with a limit. */
+    /** A slot of the object at a path, which has a limit of holders. */
     record Slot(String path, int limit) {}
 
-    /** Takes all slots; if one can't be had, those before it are given back. */
+    /**
+     * Acquires the slots in order and completes with false at the first one that is unavailable;
+     * {@link #release} then frees those acquired before it.
+     */
     CompletableFuture<Boolean> acquire(List<Slot> slots) {
-        mWanted = true;
-        mLast = mLast.thenCompose(done -> acquire(slots.iterator()));
-        return mLast;
+        mRequested = true;
+        mLastWrite = mLastWrite.thenCompose(done -> acquire(slots.iterator()));
+        return mLastWrite;
     }
 
-    /** Gives back whatever is held; what can't be given back now is tried again by retry. */
+    /** Releases all held slots; slots that cannot be released now are retried by {@link #retry}. */
     void release() {
-        mWanted = false;
-        mLast = mLast.thenCompose(done -> releaseAll());
+        mRequested = false;
+        mLastWrite = mLastWrite.thenCompose(done -> releaseAll());
     }
 
     /**
-     * Gives back what is held or being acquired, until it is surely given back.
+     * Releases the slots held or being acquired, until the release is confirmed.
      *
-     * <p>A slot that a living host keeps after it lost the engine would hold up changes of others
-     * for as long as that host lives.
+     * <p>A slot that a live host retained after losing the engine would block the changes of other
+     * hosts for as long as that host is alive.
      */
-    void giveUp() {
-        if (mWanted) {
+    void abandon() {
+        if (mRequested) {
             release();
         } else {
             retry();
         }
     }
 
-    /** Tries again to give back what a lost answer may have left behind. */
+    /** Retries the release of slots that a lost response may have left held. */
     void retry() {
-        if (!mWanted && !mPaths.isEmpty() && mLast.isDone()) {
+        if (!mRequested && !mPaths.isEmpty() && mLastWrite.isDone()) {
             release();
         }
     }
@@ -71,7 +74,10 @@
         mPaths.add(slot.path());
         return mStore.acquire(slot.path(), mEngine, slot.limit())
                 .thenCompose(
-                        had -> had ? acquire(slots) : CompletableFuture.completedFuture(false));
+                        acquired ->
+                                acquired
+                                        ? acquire(slots)
+                                        : CompletableFuture.completedFuture(false));
     }
 
     private CompletableFuture<Boolean> releaseAll() {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
@@ -14,10 +14,10 @@
 import org.cyclamenpaddle.store.objects.WritePrecondition;
 import org.cyclamenpaddle.store.objects.WriteResult;
 
-/** Shared slots, changed in the platform by conditional updates. */
+/** Acquires and releases shared slots by conditional updates in the platform. */
 public final class SlotStore {
 
-    private static final int TRIES = 5;
+    private static final int MAX_ATTEMPTS = 5;
 
     private final ObjectStore mStore;
     private final Incarnation mSelf;
@@ -28,7 +28,7 @@
      *
      * @param store the platform's object API
      * @param self this host
-     * @param standing what is known of an incarnation
+     * @param standing returns the standing of an incarnation
      */
     public SlotStore(
             ObjectStore store, Incarnation self, Function<Incarnation, Standing> standing) {
@@ -37,23 +37,23 @@
         mStanding = standing;
     }
 
-    /** Returns whether the slot is held now; false also if that is not known. */
+    /** Acquires a slot; completes with whether it is held, false also if that is unknown. */
     CompletableFuture<Boolean> acquire(String path, BackendId engine, int limit) {
-        return change(path, slots -> slots.acquire(engine, mSelf, limit, mStanding), TRIES);
+        return change(path, slots -> slots.acquire(engine, mSelf, limit, mStanding), MAX_ATTEMPTS);
     }
 
-    /** Returns whether the slot is surely not held by this host any more. */
+    /** Releases a slot; completes with true only if this host certainly no longer holds it. */
     CompletableFuture<Boolean> release(String path, BackendId engine) {
-        return change(path, slots -> Optional.of(slots.release(engine, mSelf)), TRIES);
+        return change(path, slots -> Optional.of(slots.release(engine, mSelf)), MAX_ATTEMPTS);
     }
 
     private CompletableFuture<Boolean> change(
-            String path, Function<SharedSlots, Optional<SharedSlots>> step, int tries) {
+            String path, Function<SharedSlots, Optional<SharedSlots>> step, int attemptsLeft) {
         return mStore.get(path)
                 .thenCompose(
-                        answer ->
-                                answer.isRight()
-                                        ? write(path, answer.get(), step, tries)
+                        response ->
+                                response.isRight()
+                                        ? write(path, response.get(), step, attemptsLeft)
                                         : CompletableFuture.completedFuture(false));
     }
 
@@ -61,7 +61,7 @@
             String path,
             Optional<StoredObject> found,
             Function<SharedSlots, Optional<SharedSlots>> step,
-            int tries) {
+            int attemptsLeft) {
         SharedSlots before =
                 found.map(object -> SharedSlots.parse(object.value()).getOrElse(SharedSlots.EMPTY))
                         .orElse(SharedSlots.EMPTY);
@@ -73,17 +73,17 @@
                 found.map(object -> WritePrecondition.atVersion(object.version()))
                         .orElseGet(WritePrecondition::absent);
         return mStore.put(path, after.get().text(), precondition)
-                .thenCompose(answer -> settle(answer, path, step, tries));
+                .thenCompose(response -> settle(response, path, step, attemptsLeft));
     }
 
     private CompletableFuture<Boolean> settle(
-            Either<PlatformError, WriteResult> answer,
+            Either<PlatformError, WriteResult> response,
             String path,
             Function<SharedSlots, Optional<SharedSlots>> step,
-            int tries) {
-        boolean written = answer.isRight() && answer.get() instanceof WriteResult.Written;
-        return written || answer.isLeft() || tries <= 1
+            int attemptsLeft) {
+        boolean written = response.isRight() && response.get() instanceof WriteResult.Written;
+        return written || response.isLeft() || attemptsLeft <= 1
                 ? CompletableFuture.completedFuture(written)
-                : change(path, step, tries - 1);
+                : change(path, step, attemptsLeft - 1);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to the engines that this host owns, so that each comes in line with the preset. */
+/** Sends orders to the engines that this host owns, to reconcile them with the preset in force. */
 package org.cyclamenpaddle.router.order;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HeartbeatContents.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HeartbeatContents.java
@@ -8,10 +8,10 @@
 import org.cyclamenpaddle.router.grant.LedgerManager;
 
 /**
- * What heartbeats tell besides membership, copied before each tick.
+ * Snapshot of the contents of heartbeats besides membership, taken before each tick.
  *
- * <p>Membership asks for it under the lock of its own table, where the table of configuration,
- * which comes earlier in the lock order, must not be read.
+ * <p>Membership reads it under the lock of its own table, where the configuration table, which
+ * comes earlier in the lock order, must not be read.
  */
 public final class HeartbeatContents implements HeartbeatSource {
 
@@ -19,7 +19,7 @@
 
     private volatile Contents mContents = new Contents(0, 0, List.of());
 
-    /** Copies the present contents. */
+    /** Takes a snapshot of the current contents. */
     public void refresh(Blackboard blackboard, LedgerManager ledgers) {
         long digest = blackboard.configuration().read(ConfigurationState::digest);
         long inForce = blackboard.configuration().read(ConfigurationState::inForceVersion);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HostDiscovery.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HostDiscovery.java
@@ -14,55 +14,57 @@
 import org.cyclamenpaddle.store.hosts.HostListing;
 
 /**
- * Finds hosts by address: from the settings, and from the platform's lagging list.
+ * Discovers hosts by address, from the settings and from the platform's host list, which may lag.
  *
- * <p>An address says nothing of the host's life, so each one that no live member has is asked who
- * it is by a new connection.
+ * <p>An address does not identify the incarnation of a host, so each address without a live member
+ * is queried over a new connection.
  */
 public final class HostDiscovery {
 
-    private static final long HELLO_MILLIS = 500;
+    private static final long HELLO_TIMEOUT_MILLIS = 500;
 
     private final List<PeerAddress> mSeeds;
     private final HostList mHostList;
     private final MembershipDriver mMembership;
-    private final HelloClient mGreeter;
+    private final HelloClient mHelloClient;
     private final PlatformHealth mHealth;
 
-    /** Asks who answers at an address. */
+    /** Queries which host responds at an address. */
     @FunctionalInterface
     public interface HelloClient {
 
-        /** Completes with the host that answered, or empty; never exceptionally. */
+        /** Completes with the host that responded, or empty; never exceptionally. */
         CompletableFuture<Optional<HostRecord>> hello(String address, int port, long timeoutMillis);
     }
 
     /**
-     * Creates the finder.
+     * Creates the discovery.
      *
      * @param seeds addresses from the settings
-     * @param hostList the platform's list
-     * @param membership takes what is found
-     * @param greeter asks an address who it is
-     * @param health told whether the platform answers
+     * @param hostList the platform's host list
+     * @param membership receives the discovered hosts
+     * @param helloClient queries which host responds at an address
+     * @param health notified whether the platform responds
      */
     public HostDiscovery(
             List<PeerAddress> seeds,
             HostList hostList,
             MembershipDriver membership,
-            HelloClient greeter,
+            HelloClient helloClient,
             PlatformHealth health) {
         mSeeds = List.copyOf(seeds);
         mHostList = hostList;
         mMembership = membership;
-        mGreeter = greeter;
+        mHelloClient = helloClient;
         mHealth = health;
     }
 
-    /** Greets every address that no live member has. */
+    /** Sends a hello to every address without a live member. */
     public void tick() {
-        greet(new HashSet<>(mSeeds));
-        mHostList.hosts().thenAccept(answer -> answer.peek(listing -> greet(addresses(listing))));
+        sendHello(new HashSet<>(mSeeds));
+        mHostList
+                .hosts()
+                .thenAccept(response -> response.peek(listing -> sendHello(addresses(listing))));
     }
 
     private static Set<PeerAddress> addresses(HostListing listing) {
@@ -72,7 +74,7 @@
                 .collect(Collectors.toSet());
     }
 
-    private void greet(Set<PeerAddress> addresses) {
+    private void sendHello(Set<PeerAddress> addresses) {
         Set<PeerAddress> known =
                 mMembership.hosts().stream()
                         .filter(host -> host.state() != HostState.DEAD)
@@ -82,7 +84,11 @@
                 .filter(address -> !known.contains(address))
                 .forEach(
                         address ->
-                                mGreeter.hello(address.address(), address.port(), HELLO_MILLIS)
+                                mHelloClient
+                                        .hello(
+                                                address.address(),
+                                                address.port(),
+                                                HELLO_TIMEOUT_MILLIS)
                                         .thenAccept(
                                                 found ->
                                                         found.ifPresent(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -27,7 +27,10 @@
 import org.cyclamenpaddle.router.grant.HostView;
 import org.cyclamenpaddle.router.worker.Workers;
 
-/** Performs what {@link Membership} decides; the view of the hosts for everyone else. */
+/**
+ * Performs the effects of {@link Membership}, and provides the view of the hosts to other
+ * components.
+ */
 public final class MembershipDriver implements HostView {
 
     private final Table<Membership> mMembership;
@@ -37,18 +40,18 @@
     private final Clock mClock;
     private final EventLog mLog;
     private final Consumer<Incarnation> mSuperseded;
-    private volatile Consumer<HostRecord> mChanged = host -> {};
+    private volatile Consumer<HostRecord> mHostChanged = host -> {};
 
     /**
      * Creates the driver.
      *
-     * @param membership the state machine; reached only through this driver from now on
+     * @param membership the state machine; from now on accessed only through this driver
      * @param settings its timings
      * @param transport messages and new connections to peers
-     * @param workers pool
+     * @param workers worker pool
      * @param clock time in milliseconds
      * @param log events
-     * @param superseded told when a later life of this very host was heard of
+     * @param superseded notified when a later incarnation of this host is reported
      */
     public MembershipDriver(
             Membership membership,
@@ -68,50 +71,54 @@
     }
 
     /**
-     * Sets who is told at once of each change of a host's state or life.
+     * Sets the listener that is notified immediately of each change of a host's state or
+     * incarnation.
      *
-     * @param changed takes the host; must not block
+     * @param changed receives the host; must not block
      */
     public void onHostChanged(Consumer<HostRecord> changed) {
-        mChanged = changed;
+        mHostChanged = changed;
     }
 
-    /** Sends what is due and follows suspicions. */
+    /** Sends due messages and updates suspicions. */
     public void tick() {
-        act(membership -> membership.tick(mClock.millis()));
+        handle(membership -> membership.tick(mClock.millis()));
     }
 
-    /** Takes a heartbeat. */
+    /** Handles a heartbeat. */
     public void onHeartbeat(Heartbeat heartbeat) {
-        act(membership -> membership.onHeartbeat(heartbeat, mClock.millis()));
+        handle(membership -> membership.onHeartbeat(heartbeat, mClock.millis()));
     }
 
-    /** Takes a peer's wish that this host tries to reach another. */
-    public void onProbeRequest(HostRecord asker, ProbeAsk ask) {
-        act(membership -> membership.onProbeAsk(asker, ask, mClock.millis()));
+    /** Handles a peer's request that this host probes another. */
+    public void onProbeRequest(HostRecord requester, ProbeAsk request) {
+        handle(membership -> membership.onProbeAsk(requester, request, mClock.millis()));
     }
 
-    /** Takes what a peer found. */
-    public void onProbeResponse(ProbeAnswer answer) {
-        act(membership -> membership.onProbeAnswer(answer, mClock.millis()));
+    /** Handles the result of a peer's probe. */
+    public void onProbeResponse(ProbeAnswer response) {
+        handle(membership -> membership.onProbeAnswer(response, mClock.millis()));
     }
 
-    /** Takes hosts that the platform's list or the settings name; a hint only. */
+    /** Handles hosts named by the platform's list or the settings, which are only hints. */
     public void onHint(List<HostRecord> hint) {
-        act(membership -> membership.onHostList(hint, mClock.millis()));
+        handle(membership -> membership.onHostList(hint, mClock.millis()));
     }
 
-    /** Tells the fleet that this host is leaving. */
+    /** Announces to the fleet that this host is leaving. */
     public void leave() {
-        act(Membership::onLeaving);
+        handle(Membership::onLeaving);
     }
 
-    /** Returns what is known of a life of a host. */
+    /** Returns the standing of a host's incarnation. */
     public Standing standing(Incarnation incarnation) {
         return mMembership.read(membership -> membership.standing(incarnation));
     }
 
-    /** Returns whether some host's memory was lost within the span that ends now. */
+    /**
+     * Returns whether the in-memory state of any host was lost within the last {@code spanMillis}
+     * milliseconds.
+     */
     public boolean hostLostWithin(long spanMillis) {
         return mMembership.read(membership -> membership.lostLately(spanMillis, mClock.millis()));
     }
@@ -126,7 +133,7 @@
         return mMembership.read(membership -> membership.record(host));
     }
 
-    /** Returns what peers last told of their configuration. */
+    /** Returns the configuration digests that peers last reported. */
     public Map<HostId, PeerDigest> peerDigests() {
         return mMembership.read(membership -> Map.copyOf(membership.peerDigests()));
     }
@@ -146,7 +153,7 @@
         return Ownership.owner(backend.id(), backend.failureDomain(), alive());
     }
 
-    private void act(Function<Membership, List<MembershipEffect>> event) {
+    private void handle(Function<Membership, List<MembershipEffect>> event) {
         mMembership.read(event).forEach(this::perform);
     }
 
@@ -157,7 +164,7 @@
             probe(probe.target());
         } else if (effect instanceof MembershipEffect.HostChanged changed) {
             log(changed.host());
-            mChanged.accept(changed.host());
+            mHostChanged.accept(changed.host());
         } else if (effect instanceof MembershipEffect.Superseded superseded) {
             mSuperseded.accept(superseded.by());
         }
@@ -167,7 +174,7 @@
         mWorkers.onResult(
                 mTransport.probe(target, mSettings.probeTimeoutMillis()),
                 reachable ->
-                        act(
+                        handle(
                                 membership ->
                                         membership.onConnectionProbe(
                                                 target.incarnation(), reachable, mClock.millis())));
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
@@ -9,7 +9,10 @@
 import org.cyclamenpaddle.peer.net.PeerError;
 import org.cyclamenpaddle.peer.net.PeerNetwork;
 
-/** The transport over the peer network, which itself needs the controllers that use it. */
+/**
+ * Peer transport over the network. The network is supplied lazily, since it needs the controllers
+ * that use this transport.
+ */
 public final class NetworkTransport implements PeerTransport, HostDiscovery.HelloClient {
 
     private final Supplier<PeerNetwork> mNetwork;
@@ -17,7 +20,7 @@
     /**
      * Creates the transport.
      *
-     * @param network the network; asked for only once messages flow
+     * @param network supplies the network; called only once messages are sent
      */
     public NetworkTransport(Supplier<PeerNetwork> network) {
         mNetwork = network;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMessageDispatcher.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMessageDispatcher.java
@@ -18,10 +18,10 @@
 import org.cyclamenpaddle.router.configuration.ConfigurationDriver;
 import org.cyclamenpaddle.router.grant.LedgerManager;
 
-/** Passes each message of a peer to the controller that it is for. */
+/** Dispatches each message of a peer to the controller that handles it. */
 public final class PeerMessageDispatcher implements PeerListener {
 
-    private static final CompletableFuture<Optional<PeerMessage>> NO_ANSWER =
+    private static final CompletableFuture<Optional<PeerMessage>> NO_RESPONSE =
             CompletableFuture.completedFuture(Optional.empty());
 
     private final MembershipDriver mMembership;
@@ -32,13 +32,13 @@
     private final Clock mClock;
 
     /**
-     * Creates the dispatch.
+     * Creates the dispatcher.
      *
-     * @param membership heartbeats and probes
-     * @param configuration replica
-     * @param ledgers grants
-     * @param bookings claims
-     * @param blackboard hints and strikes
+     * @param membership handles heartbeats and probes
+     * @param configuration handles replication of the configuration
+     * @param ledgers handles grants
+     * @param bookings handles claims
+     * @param blackboard stores hints and strikes
      * @param clock time in milliseconds
      */
     public PeerMessageDispatcher(
@@ -61,22 +61,22 @@
             HostRecord from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             onHeartbeat(heartbeat);
-        } else if (message instanceof ProbeAsk ask) {
-            mMembership.onProbeRequest(from, ask);
-        } else if (message instanceof ProbeAnswer answer) {
-            mMembership.onProbeResponse(answer);
-        } else if (message instanceof ConfigurationAsk ask) {
-            return mConfiguration.onPeerRequest(ask);
+        } else if (message instanceof ProbeAsk request) {
+            mMembership.onProbeRequest(from, request);
+        } else if (message instanceof ProbeAnswer response) {
+            mMembership.onProbeResponse(response);
+        } else if (message instanceof ConfigurationAsk request) {
+            return mConfiguration.onPeerRequest(request);
         } else if (message instanceof ConfigurationAnswer pushed) {
             mConfiguration.onPeerPush(pushed);
-        } else if (message instanceof ClaimAsk ask) {
-            return mBookings.onClaimRequest(ask).thenApply(Optional::of);
+        } else if (message instanceof ClaimAsk request) {
+            return mBookings.onClaimRequest(request).thenApply(Optional::of);
         } else if (message instanceof StrikeNotice notice) {
             mBlackboard.quarantine().write(table -> table.merge(notice, mClock.millis()));
         } else {
             return CompletableFuture.completedFuture(mLedgers.onPeerMessage(message));
         }
-        return NO_ANSWER;
+        return NO_RESPONSE;
     }
 
     private void onHeartbeat(Heartbeat heartbeat) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
@@ -6,7 +6,7 @@
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 
-/** Counts peer traffic in the metrics. */
+/** Records peer traffic in the metrics. */
 public final class PeerMetrics implements PeerCounters {
 
     private final RouterMetrics mMetrics;
@@ -15,8 +15,8 @@
     /**
      * Creates the counters.
      *
-     * @param metrics where traffic is counted
-     * @param log where refused frames are told
+     * @param metrics counts peer traffic
+     * @param log logs rejected frames
      */
     public PeerMetrics(RouterMetrics metrics, EventLog log) {
         mMetrics = metrics;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerTransport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerTransport.java
@@ -4,9 +4,11 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.router.grant.PeerLink;
 
-/** Messages and new connections to other entry hosts. */
+/** Sends messages to other entry hosts and probes them over new connections. */
 public interface PeerTransport extends PeerLink {
 
-    /** Tries whether a host answers on a new connection; the future never fails. */
+    /**
+     * Probes whether a host responds on a new connection; the future never completes exceptionally.
+     */
     CompletableFuture<Boolean> probe(HostRecord target, long timeoutMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/package-info.java
@@ -1,2 +1,2 @@
-/** Drives membership and passes peers' messages to the controllers they are for. */
+/** Drives membership and dispatches peers' messages to the controllers that handle them. */
 package org.cyclamenpaddle.router.peering;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Slots are had all or none, and are given back whatever the platform does. */
+/** Tests that slots are acquired all or none, and are released even after a platform outage. */
 public class SlotHoldingTest {
 
     private static final String FIRST = "status/rollout/malt-reader";
@@ -48,8 +48,8 @@
         mPlatform.close();
     }
 
-    // Another host holds the second of two slots. The first is given back, so that it does not hold
-    // up a third host; both are had once the other host's life has ended.
+    // Another host holds the second of two slots. The first is released, so that it does not block
+    // a third host; both are acquired once the incarnation of the other host has ended.
     @Test
     public void allOrNoneAndNoneOfDeadHost() {
         assertTrue(slots("h2", Standing.RUNNING).acquire(SECOND, OTHER, 1).join());
@@ -65,14 +65,14 @@
         assertEquals(holders(SECOND), 1);
     }
 
-    // A host loses an engine while the platform is away, so its slot can't be given back at once.
-    // It goes on trying: when the platform is back, the slot becomes free.
+    // A host loses an engine while the platform is unreachable, so its slot cannot be released
+    // immediately. The host keeps retrying: after the outage the slot becomes free.
     @Test
-    public void slotIsGivenBackAfterOutage() {
+    public void slotIsReleasedAfterOutage() {
         SlotHolding holding = new SlotHolding(slots("h1", Standing.RUNNING), ENGINE);
         assertTrue(holding.acquire(BOTH).join());
         mPlatform.outage(Outage.REFUSE);
-        holding.giveUp();
+        holding.abandon();
         assertFalse(slots("h1", Standing.RUNNING).release(FIRST, ENGINE).join());
 
         mPlatform.outage(Outage.NONE);
@@ -80,7 +80,7 @@
         Await.until(
                 "both slots are free",
                 () -> {
-                    holding.giveUp();
+                    holding.abandon();
                     return holders(FIRST) + holders(SECOND) == 0;
                 });
     }
