--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -40,14 +40,15 @@
 import org.cyclamenpaddle.store.objects.WatchResult;
 
 /**
- * Performs what {@link ConfigurationSync} decides, and puts what it takes in on the blackboard.
+ * Performs the effects of {@link ConfigurationSync}, and publishes the applied configuration on the
+ * blackboard.
  *
  * <p>All its events pass through one serial executor; readers see only the blackboard.
  */
 public final class ConfigurationDriver {
 
-    private static final long WATCH_MILLIS = 10_000;
-    private static final long PEER_ASK_MILLIS = 500;
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
+    private static final long PEER_REQUEST_TIMEOUT_MILLIS = 500;
 
     private final ObjectStore mStore;
     private final ConfigurationCodec mCodec;
@@ -61,7 +62,7 @@
     private final ConfigurationReplica mReplica = new ConfigurationReplica();
     private final ConfigurationSync mSync;
     private final Map<ObjectKey, String> mLastPresets = new HashMap<>();
-    private final CompletableFuture<Void> mKnown = new CompletableFuture<>();
+    private final CompletableFuture<Void> mInitialized = new CompletableFuture<>();
     private long mGeneration;
 
     /**
@@ -70,9 +71,9 @@
      * @param self this host
      * @param store the platform's object API
      * @param codec parses documents
-     * @param blackboard where the parsed configuration goes
+     * @param blackboard receives the parsed configuration
      * @param runtime workers, clock, log and health
-     * @param peers asks peers
+     * @param peers sends requests to peers
      * @param alive the hosts of the current view
      * @param random jitter
      */
@@ -98,31 +99,31 @@
     }
 
     /**
-     * What the driver runs on.
+     * Runtime services of the driver.
      *
-     * @param workers pool
+     * @param workers worker pool
      * @param clock time in milliseconds
      * @param log events
-     * @param health told whether the platform answers
+     * @param health notified whether the platform responds
      */
     public record Runtime(Workers workers, Clock clock, EventLog log, PlatformHealth health) {}
 
-    /** Lets the state machine act on the time and the view of the hosts. */
+    /** Advances the state machine to the current time and view of the hosts. */
     public void tick() {
         mSerial.execute(() -> perform(mSync.tick(mAlive.get(), mClock.millis())));
     }
 
-    /** Completes once the platform or a peer has told this host the configuration. */
+    /** Completes once the configuration has been received from the platform or a peer. */
     public CompletableFuture<Void> initialized() {
-        return mKnown;
+        return mInitialized;
     }
 
-    /** Asks a host that is not known as a member yet. */
+    /** Requests the configuration from a host that is not yet known as a member. */
     public void requestAtStart(HostRecord peer) {
-        mSerial.execute(() -> askPeer(peer, new ConfigurationAsk(mReplica.known())));
+        mSerial.execute(() -> requestFromPeer(peer, new ConfigurationAsk(mReplica.known())));
     }
 
-    /** Takes the digest in a peer's heartbeat. */
+    /** Handles the digest in a peer's heartbeat. */
     public void onPeerDigest(HostRecord peer, long digest) {
         mSerial.execute(
                 () -> {
@@ -133,26 +134,29 @@
                 });
     }
 
-    /** Answers a peer's ask. */
-    public CompletableFuture<Optional<PeerMessage>> onPeerRequest(ConfigurationAsk ask) {
-        CompletableFuture<Optional<PeerMessage>> answer = new CompletableFuture<>();
+    /** Responds to a peer's request. */
+    public CompletableFuture<Optional<PeerMessage>> onPeerRequest(ConfigurationAsk request) {
+        CompletableFuture<Optional<PeerMessage>> response = new CompletableFuture<>();
         mSerial.execute(
                 () ->
-                        answer.complete(
-                                mSync.onPeerAsk(ask).stream()
+                        response.complete(
+                                mSync.onPeerAsk(request).stream()
                                         .filter(ConfigurationEffect.Answer.class::isInstance)
                                         .map(ConfigurationEffect.Answer.class::cast)
                                         .<PeerMessage>map(ConfigurationEffect.Answer::answer)
                                         .findFirst()));
-        return answer;
+        return response;
     }
 
-    /** Takes objects that a peer pushed. */
-    public void onPeerPush(ConfigurationAnswer answer) {
-        mSerial.execute(() -> perform(mSync.onPeerAnswer(answer)));
+    /** Handles objects that a peer pushed. */
+    public void onPeerPush(ConfigurationAnswer response) {
+        mSerial.execute(() -> perform(mSync.onPeerAnswer(response)));
     }
 
-    /** Takes an object that this host has just written; completes when it is in force here. */
+    /**
+     * Applies an object that this host has just written; completes when it is in force on this
+     * host.
+     */
     public CompletableFuture<Void> onWritten(ConfigurationObject object) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         mSerial.execute(
@@ -163,7 +167,10 @@
         return done;
     }
 
-    /** Returns the last document that this host had of a preset, be it deleted since or not. */
+    /**
+     * Returns the last document of a preset that this host knew, even if the preset has been
+     * deleted since.
+     */
     public CompletableFuture<Optional<String>> lastDocument(ObjectKey key) {
         CompletableFuture<Optional<String>> document = new CompletableFuture<>();
         mSerial.execute(() -> document.complete(Optional.ofNullable(mLastPresets.get(key))));
@@ -181,8 +188,8 @@
             watch(watch.afterRevision());
         } else if (effect instanceof ConfigurationEffect.StopWatch) {
             mGeneration++;
-        } else if (effect instanceof ConfigurationEffect.AskPeer ask) {
-            askPeer(ask.peer(), ask.ask());
+        } else if (effect instanceof ConfigurationEffect.AskPeer request) {
+            requestFromPeer(request.peer(), request.ask());
         } else if (effect instanceof ConfigurationEffect.Applied applied) {
             apply(applied.objects());
         }
@@ -191,29 +198,29 @@
     private void list() {
         long generation = ++mGeneration;
         mStore.list(ObjectKey.PREFIX)
-                .thenAccept(answer -> report(generation, () -> listed(answer)));
+                .thenAccept(response -> runIfCurrent(generation, () -> listed(response)));
     }
 
-    private void listed(Either<PlatformError, Listing> answer) {
-        answer.peekLeft(this::platformFailed)
+    private void listed(Either<PlatformError, Listing> response) {
+        response.peekLeft(this::platformFailed)
                 .peek(
                         listing -> {
                             platformAnswered();
                             perform(
                                     mSync.onListing(
                                             listing.revision(), objects(listing.objects())));
-                            mKnown.complete(null);
+                            mInitialized.complete(null);
                         });
     }
 
     private void watch(long afterRevision) {
         long generation = ++mGeneration;
-        mStore.watch(ObjectKey.PREFIX, afterRevision, WATCH_MILLIS)
-                .thenAccept(answer -> report(generation, () -> watched(answer)));
+        mStore.watch(ObjectKey.PREFIX, afterRevision, WATCH_TIMEOUT_MILLIS)
+                .thenAccept(response -> runIfCurrent(generation, () -> watched(response)));
     }
 
-    private void watched(Either<PlatformError, WatchResult> answer) {
-        answer.peekLeft(this::platformFailed)
+    private void watched(Either<PlatformError, WatchResult> response) {
+        response.peekLeft(this::platformFailed)
                 .peek(
                         result -> {
                             platformAnswered();
@@ -225,8 +232,8 @@
                         });
     }
 
-    /** A listing or watch abandoned meanwhile reports nothing. */
-    private void report(long generation, Runnable work) {
+    /** Runs work unless its listing or watch has been abandoned. */
+    private void runIfCurrent(long generation, Runnable work) {
         mSerial.execute(
                 () -> {
                     if (generation == mGeneration) {
@@ -249,19 +256,19 @@
         mBlackboard.configuration().write(cell -> cell.confirm(mClock.millis()));
     }
 
-    private void askPeer(HostRecord peer, ConfigurationAsk ask) {
-        mPeers.request(peer, ask, PEER_ASK_MILLIS)
-                .thenAccept(answer -> mSerial.execute(() -> answered(answer)));
+    private void requestFromPeer(HostRecord peer, ConfigurationAsk request) {
+        mPeers.request(peer, request, PEER_REQUEST_TIMEOUT_MILLIS)
+                .thenAccept(response -> mSerial.execute(() -> onPeerResponse(response)));
     }
 
-    private void answered(Either<PeerError, PeerMessage> answer) {
-        boolean usable = answer.isRight() && answer.get() instanceof ConfigurationAnswer;
+    private void onPeerResponse(Either<PeerError, PeerMessage> response) {
+        boolean usable = response.isRight() && response.get() instanceof ConfigurationAnswer;
         perform(
                 usable
-                        ? mSync.onPeerAnswer((ConfigurationAnswer) answer.get())
+                        ? mSync.onPeerAnswer((ConfigurationAnswer) response.get())
                         : mSync.onPeerFailed());
         if (usable) {
-            mKnown.complete(null);
+            mInitialized.complete(null);
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PeerRequester.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PeerRequester.java
@@ -6,11 +6,11 @@
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.peer.net.PeerError;
 
-/** Asks a peer and waits for its answer. */
+/** Sends requests to peers and receives their responses. */
 @FunctionalInterface
 public interface PeerRequester {
 
-    /** Sends an ask; the future never fails. */
+    /** Sends a request; the future never completes exceptionally. */
     CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
@@ -35,15 +35,15 @@
 import org.cyclamenpaddle.store.objects.WritePrecondition;
 
 /**
- * Operators' changes, made in the platform by conditional updates.
+ * Applies operators' changes to the platform by conditional updates.
  *
  * <p>References are checked against a fresh listing of the platform, not against the replica, which
  * may be some seconds behind an object that the same operator has just declared.
  */
 public final class PlatformAdmin implements ConfigurationAdmin {
 
-    private static final int TRIES = 5;
-    private static final long PAUSE_MILLIS = 200;
+    private static final int MAX_ATTEMPTS = 5;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ObjectStore mStore;
     private final ConfigurationCodec mCodec;
@@ -51,24 +51,25 @@
     private final ConfigurationDriver mDriver;
 
     /**
-     * Creates the administration.
+     * Creates an instance.
      *
      * @param store the platform's object API
-     * @param codec documents
-     * @param driver takes what was written, so that it is in force here at once
+     * @param codec encodes and decodes documents
+     * @param driver applies what was written, so that it is immediately in force on this host
      */
     public PlatformAdmin(ObjectStore store, ConfigurationCodec codec, ConfigurationDriver driver) {
         mStore = store;
         mCodec = codec;
-        mChange = new ConditionalChange(store, codec, TRIES, PAUSE_MILLIS);
+        mChange = new ConditionalChange(store, codec, MAX_ATTEMPTS, RETRY_DELAY_MILLIS);
         mDriver = driver;
     }
 
     @Override
     public CompletableFuture<Either<Refusal, List<StoredObject>>> list(ObjectKind kind) {
-        return all().thenApply(
-                        answer ->
-                                answer.map(
+        return listAll()
+                .thenApply(
+                        response ->
+                                response.map(
                                         objects ->
                                                 objects.stream()
                                                         .filter(o -> o.key().kind() == kind)
@@ -83,8 +84,8 @@
     public CompletableFuture<Either<Refusal, Optional<StoredObject>>> find(ObjectKey key) {
         return mStore.get(key.path())
                 .thenApply(
-                        answer ->
-                                answer.mapLeft(PlatformAdmin::unread)
+                        response ->
+                                response.mapLeft(PlatformAdmin::readFailure)
                                         .map(
                                                 found ->
                                                         found.flatMap(
@@ -98,7 +99,7 @@
         if (submitted.isLeft()) {
             return refused(Refusal.of(RefusalReason.BAD_CONFIGURATION, submitted.getLeft()));
         }
-        return checked(view -> wrong(view, submitted.get()))
+        return checked(view -> findProblem(view, submitted.get()))
                 .thenCompose(
                         refusal ->
                                 refusal.map(PlatformAdmin::<StoredObject>refused)
@@ -120,7 +121,7 @@
                             RefusalReason.BAD_BODY, "A deletion needs If-Match with a version."));
         }
         long version = precondition.version().getAsLong();
-        return checked(view -> wrongToRemove(view, key))
+        return checked(view -> findRemovalProblem(view, key))
                 .thenCompose(
                         refusal ->
                                 refusal.map(PlatformAdmin::<Long>refused)
@@ -135,16 +136,16 @@
                         : WritePrecondition.absent();
         return mChange.put(key.path(), change, spec, condition)
                 .thenCompose(
-                        answer ->
-                                settle(key, answer)
+                        response ->
+                                settle(key, response)
                                         .fold(
                                                 refusal ->
                                                         CompletableFuture.completedFuture(
                                                                 Either.left(refusal)),
                                                 version ->
-                                                        keepPreset(spec)
+                                                        restorePresetIfDeleted(spec)
                                                                 .thenCompose(
-                                                                        kept ->
+                                                                        restored ->
                                                                                 inForce(
                                                                                         key, spec,
                                                                                         change,
@@ -154,24 +155,28 @@
     /**
      * Restores a preset that was deleted while it was being put in force.
      *
-     * <p>Failure: one operator deletes a preset while another puts it in force; each check passes
-     * before the other's write, and every host would refuse all requests for want of a preset. Both
-     * look again after their own write, so at least one of them sees both writes and restores it.
+     * <p>One operator may delete a preset while another puts it in force: each check passes before
+     * the other's write, and every host would refuse all requests for lack of a preset. Both read
+     * again after their own write, so at least one of them sees both writes and restores the
+     * preset.
      */
-    private CompletableFuture<Void> keepPreset(Object spec) {
+    private CompletableFuture<Void> restorePresetIfDeleted(Object spec) {
         if (!(spec instanceof InForceSpec inForce)) {
             return CompletableFuture.completedFuture(null);
         }
         ObjectKey key = new ObjectKey(ObjectKind.PRESET, inForce.preset().value());
         return mStore.get(key.path())
                 .thenCompose(
-                        answer ->
-                                answer.isRight() && answer.get().isEmpty()
+                        response ->
+                                response.isRight() && response.get().isEmpty()
                                         ? restore(key)
                                         : CompletableFuture.completedFuture(null));
     }
 
-    /** Writes the preset back as this host's replica still has it, unless someone has done so. */
+    /**
+     * Writes back the last document of the preset that this host knew, unless the preset exists
+     * again.
+     */
     private CompletableFuture<Void> restore(ObjectKey key) {
         return mDriver.lastDocument(key)
                 .thenCompose(
@@ -186,7 +191,7 @@
                                         .orElseGet(() -> CompletableFuture.completedFuture(null)));
     }
 
-    /** Puts the change in force on this host before its operator hears of it. */
+    /** Applies the change on this host before the operator receives the response. */
     private CompletableFuture<Either<ChangeRefusal, StoredObject>> inForce(
             ObjectKey key, Object spec, ChangeId change, OptionalLong version) {
         String document = mCodec.encode(change, spec);
@@ -206,30 +211,30 @@
     private CompletableFuture<Either<ChangeRefusal, Long>> remove(ObjectKey key, long version) {
         return mChange.delete(key.path(), version)
                 .thenCompose(
-                        answer ->
-                                settle(key, answer)
+                        response ->
+                                settle(key, response)
                                         .fold(
                                                 refusal ->
                                                         CompletableFuture.completedFuture(
                                                                 Either.left(refusal)),
                                                 deleted ->
-                                                        keepPresetInForce(key)
+                                                        restoreIfInForce(key)
                                                                 .thenCompose(
-                                                                        kept ->
+                                                                        restored ->
                                                                                 removed(
                                                                                         key,
                                                                                         version,
                                                                                         deleted))));
     }
 
-    private CompletableFuture<Void> keepPresetInForce(ObjectKey deleted) {
+    private CompletableFuture<Void> restoreIfInForce(ObjectKey deleted) {
         if (deleted.kind() != ObjectKind.PRESET) {
             return CompletableFuture.completedFuture(null);
         }
         return mStore.get(ObjectKey.inForce().path())
                 .thenCompose(
-                        answer ->
-                                answer.toJavaOptional()
+                        response ->
+                                response.toJavaOptional()
                                         .flatMap(found -> found)
                                         .flatMap(
                                                 found ->
@@ -240,14 +245,15 @@
                                                         inForce.preset()
                                                                 .value()
                                                                 .equals(deleted.name()))
-                                        .map(this::keepPreset)
+                                        .map(this::restorePresetIfDeleted)
                                         .orElseGet(() -> CompletableFuture.completedFuture(null)));
     }
 
     private CompletableFuture<Either<ChangeRefusal, Long>> removed(
             ObjectKey key, long version, OptionalLong deleted) {
         if (deleted.isEmpty()) {
-            // The answer was lost and the object is gone; the watch brings the tombstone.
+            // The response was lost and the object no longer exists; the watch will deliver the
+            // tombstone.
             return CompletableFuture.completedFuture(Either.right(version));
         }
         ConfigurationObject tombstone =
@@ -256,14 +262,14 @@
     }
 
     private Either<ChangeRefusal, OptionalLong> settle(
-            ObjectKey key, Either<PlatformError, ChangeResult> answer) {
-        if (answer.isLeft()) {
-            return Either.left(ChangeRefusal.of(unwritten(answer.getLeft())));
+            ObjectKey key, Either<PlatformError, ChangeResult> response) {
+        if (response.isLeft()) {
+            return Either.left(ChangeRefusal.of(writeFailure(response.getLeft())));
         }
-        if (answer.get() instanceof ChangeResult.Accepted accepted) {
+        if (response.get() instanceof ChangeResult.Accepted accepted) {
             return Either.right(accepted.version());
         }
-        ChangeResult.Lost lost = (ChangeResult.Lost) answer.get();
+        ChangeResult.Lost lost = (ChangeResult.Lost) response.get();
         return Either.left(
                 new ChangeRefusal(
                         Refusal.of(
@@ -277,18 +283,21 @@
 
     private CompletableFuture<Optional<Refusal>> checked(
             Function<ConfigurationView, Optional<String>> check) {
-        return all().thenApply(
-                        answer ->
-                                answer.fold(
+        return listAll()
+                .thenApply(
+                        response ->
+                                response.fold(
                                         Optional::of,
-                                        objects -> check.apply(mCodec.view(objects)).map(bad())));
+                                        objects ->
+                                                check.apply(mCodec.view(objects))
+                                                        .map(toRefusal())));
     }
 
-    private static Function<String, Refusal> bad() {
-        return wrong -> Refusal.of(RefusalReason.BAD_CONFIGURATION, wrong);
+    private static Function<String, Refusal> toRefusal() {
+        return problem -> Refusal.of(RefusalReason.BAD_CONFIGURATION, problem);
     }
 
-    private static Optional<String> wrong(ConfigurationView view, Object spec) {
+    private static Optional<String> findProblem(ConfigurationView view, Object spec) {
         if (spec instanceof PresetSpec preset) {
             return ConfigurationChecks.preset(view, preset);
         }
@@ -303,7 +312,7 @@
                 : Optional.of("unknown kind of object " + spec.getClass().getSimpleName());
     }
 
-    private static Optional<String> wrongToRemove(ConfigurationView view, ObjectKey key) {
+    private static Optional<String> findRemovalProblem(ConfigurationView view, ObjectKey key) {
         return switch (key.kind()) {
             case SERVICE -> ConfigurationChecks.removeService(view, new ServiceName(key.name()));
             case BACKEND -> ConfigurationChecks.removeBackend(view, new BackendId(key.name()));
@@ -312,11 +321,11 @@
         };
     }
 
-    private CompletableFuture<Either<Refusal, List<ConfigurationObject>>> all() {
+    private CompletableFuture<Either<Refusal, List<ConfigurationObject>>> listAll() {
         return mStore.list(ObjectKey.PREFIX)
                 .thenApply(
-                        answer ->
-                                answer.mapLeft(PlatformAdmin::unread)
+                        response ->
+                                response.mapLeft(PlatformAdmin::readFailure)
                                         .map(listing -> objects(listing.objects())));
     }
 
@@ -353,14 +362,14 @@
                         new StoredObject(object.key(), object.version(), change.get(), spec.get()));
     }
 
-    private static Refusal unread(PlatformError error) {
+    private static Refusal readFailure(PlatformError error) {
         return Refusal.of(RefusalReason.PLATFORM_AWAY, error.toString());
     }
 
-    private static Refusal unwritten(PlatformError error) {
+    private static Refusal writeFailure(PlatformError error) {
         return error.mayHaveTakenEffect()
                 ? Refusal.of(RefusalReason.CHANGE_UNKNOWN, error.toString())
-                : unread(error);
+                : readFailure(error);
     }
 
     private static <T> CompletableFuture<Either<ChangeRefusal, T>> refused(Refusal refusal) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
@@ -8,17 +8,17 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.store.http.PlatformError;
 
-/** Whether the platform answered lately; logs the change, not each failure. */
+/** Tracks whether the platform is reachable, and logs changes rather than every failure. */
 public final class PlatformHealth {
 
     private final EventLog mLog;
     private final RouterMetrics mMetrics;
     private final Clock mClock;
     private final AtomicBoolean mReachable = new AtomicBoolean(true);
-    private volatile long mAwaySince;
+    private volatile long mUnreachableSince;
 
     /**
-     * Creates the health of a platform that is taken to answer.
+     * Creates an instance that assumes a reachable platform.
      *
      * @param log events
      * @param metrics counts failed calls
@@ -30,23 +30,23 @@
         mMetrics = metrics;
     }
 
-    /** Notes an answer. */
+    /** Records a response. */
     public void answered() {
         if (mReachable.compareAndSet(false, true)) {
-            mLog.log(LogEvent.PLATFORM_BACK, mClock.millis() - mAwaySince);
+            mLog.log(LogEvent.PLATFORM_BACK, mClock.millis() - mUnreachableSince);
         }
     }
 
-    /** Notes a failed call. */
+    /** Records a failed call. */
     public void failed(PlatformError error) {
         mMetrics.retried(RetryReason.PLATFORM_CALL_FAILED);
         if (mReachable.compareAndSet(true, false)) {
-            mAwaySince = mClock.millis();
+            mUnreachableSince = mClock.millis();
             mLog.log(LogEvent.PLATFORM_AWAY, error);
         }
     }
 
-    /** Returns whether the platform answered lately. */
+    /** Returns whether the last recorded call to the platform got a response. */
     public boolean reachable() {
         return mReachable.get();
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/package-info.java
@@ -1,2 +1,5 @@
-/** Keeps this host's configuration in line with the platform and peers, and makes changes. */
+/**
+ * Synchronizes this host's configuration with the platform and peers, and applies operators'
+ * changes.
+ */
 package org.cyclamenpaddle.router.configuration;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionLog.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionLog.java
@@ -9,10 +9,11 @@
 import org.cyclamenpaddle.core.time.Clock;
 
 /**
- * Decisions of the latest requests; safe for use by many threads.
+ * Bounded log of the decisions for the most recent requests. Thread-safe.
  *
- * <p>Both bounds hold always: the oldest request makes room for a new one, and decisions beyond the
- * bound of a request are counted but not kept. The lock is a leaf: nothing is called under it.
+ * <p>Both bounds always hold: the oldest request is evicted for a new one, and decisions beyond the
+ * bound of a request are counted but not stored. The lock is a leaf lock: no other component is
+ * called while it is held.
  */
 public final class DecisionLog {
 
@@ -23,14 +24,14 @@
     /**
      * Creates an empty log.
      *
-     * @param clock source of the time between decisions
-     * @param maxRequests requests kept
-     * @param maxDecisions decisions kept for each request
+     * @param clock clock that measures the time between decisions
+     * @param maxRequests maximum number of requests
+     * @param maxDecisions maximum number of decisions for each request
      */
     public DecisionLog(Clock clock, int maxRequests, int maxDecisions) {
         if (maxRequests < 1 || maxDecisions < 1) {
             throw new IllegalArgumentException(
-                    "bounds must be above 0: " + maxRequests + ", " + maxDecisions);
+                    "expected bounds above 0, got " + maxRequests + ", " + maxDecisions);
         }
         mClock = clock;
         mMaxDecisions = maxDecisions;
@@ -38,11 +39,12 @@
     }
 
     /**
-     * Keeps a decision.
+     * Records a decision.
      *
      * @param request the request
-     * @param step where in the way of the request
-     * @param text what was decided and by which figures; never text of a prompt or body
+     * @param step step at which the decision was made
+     * @param text what was decided, with the figures it was based on; never contains text of a
+     *     prompt or body
      */
     public void record(RequestId request, DecisionStep step, String text) {
         long now = mClock.millis();
@@ -51,11 +53,11 @@
         }
     }
 
-    /** Returns what was decided for a request; empty if it is not or no longer known. */
+    /** Returns the decisions for a request; empty if the request is unknown or has been evicted. */
     public Optional<Explanation> explain(RequestId request) {
         synchronized (mEntries) {
             return Optional.ofNullable(mEntries.get(request))
-                    .map(entry -> new Explanation(request, entry.mDecisions, entry.mLeft));
+                    .map(entry -> new Explanation(request, entry.mDecisions, entry.mOmitted));
         }
     }
 
@@ -64,7 +66,7 @@
 
         private final long mStart;
         private final List<Decision> mDecisions = new ArrayList<>();
-        private int mLeft;
+        private int mOmitted;
 
         Entry(long start) {
             mStart = start;
@@ -72,14 +74,14 @@
 
         void add(long now, DecisionStep step, String text) {
             if (mDecisions.size() == mMaxDecisions) {
-                mLeft++;
+                mOmitted++;
                 return;
             }
             mDecisions.add(new Decision(Math.max(0, now - mStart), step, text));
         }
     }
 
-    /** Map in order of insertion that drops its oldest entry when it is full. */
+    /** Insertion-ordered map that evicts its oldest entry when it is full. */
     private static final class Bounded extends LinkedHashMap<RequestId, Entry> {
 
         private static final long serialVersionUID = 1L;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionStep.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionStep.java
@@ -2,44 +2,44 @@
 
 import java.util.Locale;
 
-/** Steps of a request at which something is decided. */
+/** Steps of a request at which a decision is recorded. */
 public enum DecisionStep {
-    /** The request was read and its service found. */
+    /** The request was parsed and its service found. */
     TAKEN,
-    /** It was let in, with what was predicted for it. */
+    /** The request was admitted, with its predicted latency. */
     ADMITTED,
-    /** Backend servers were put in order. */
+    /** Backend servers were ranked. */
     PLACED,
-    /** A grant was asked of the owner of a backend server. */
+    /** A grant was requested from the owner of a backend server. */
     GRANT_ASKED,
-    /** The owner answered. */
+    /** The owner responded to a grant request. */
     GRANT_ANSWERED,
     /** Prefill began. */
     PREFILL_STARTED,
-    /** Prefill ended, well or not. */
+    /** Prefill ended, successfully or not. */
     PREFILL_ENDED,
-    /** The KV cache was transferred, or not. */
+    /** The transfer of the KV cache ended, successfully or not. */
     TRANSFER_ENDED,
-    /** The first token came. */
+    /** The first token arrived. */
     FIRST_TOKEN,
-    /** The token stream was resumed by a new connection. */
+    /** The token stream was resumed over a new connection. */
     RESUMED,
-    /** The router tries again. */
+    /** An attempt failed or was retried. */
     RETRIED,
-    /** A claim of an Idempotency-Key was asked or settled. */
+    /** A claim of an Idempotency-Key was requested, queried or settled. */
     CLAIM,
     /** A call was sent to a plain service. */
     CALL_SENT,
     /** An attempt was cancelled. */
     CANCELLED,
-    /** A strike was given, or the request was quarantined. */
+    /** A strike was recorded, or the request was quarantined. */
     QUARANTINE,
-    /** The request was refused or ended without its answer. */
+    /** The request was refused or ended without a complete response. */
     REFUSED,
-    /** The request was answered in full. */
+    /** The response was completed. */
     ANSWERED;
 
-    /** Returns the wire form: lower case with dashes. */
+    /** Returns the wire format: lower case with dashes. */
     public String code() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/package-info.java
@@ -1,2 +1,4 @@
-/** What was decided for a request and why, kept in memory for a bounded number of requests. */
+/**
+ * Decisions made for requests and their reasons, stored in memory for a bounded number of requests.
+ */
 package org.cyclamenpaddle.router.explain;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/explain/DecisionLogTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/explain/DecisionLogTest.java
@@ -13,7 +13,7 @@
     private final VirtualClock mClock = new VirtualClock(1_000);
 
     @Test
-    public void tellsDecisionsInOrderWithTheTimeBetweenThem() {
+    public void returnsDecisionsInOrderWithElapsedTime() {
         DecisionLog log = new DecisionLog(mClock, 2, 8);
         RequestId request = new RequestId("r-1");
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void theOldestRequestMakesRoom() {
+    public void evictsOldestRequest() {
         DecisionLog log = new DecisionLog(mClock, 2, 8);
 
         for (int i = 0; i < 3; i++) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void aRequestKeepsABoundedNumberAndCountsTheRest() {
+    public void limitsDecisionsPerRequestAndCountsOmitted() {
         DecisionLog log = new DecisionLog(mClock, 2, 3);
         RequestId request = new RequestId("r-1");
 
