--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
@@ -7,15 +7,18 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
-/** What this host has heard of and has on each backend server. */
+/**
+ * State of each backend server as known to this host: the last summary of its ledger, the attempts
+ * of this host, and reachability.
+ */
 public final class BackendTable {
 
-    /** How long a backend server that was not reached is ranked last, in milliseconds. */
+    /** How long an unreachable backend server is ranked last. */
     static final long SUSPECT_MILLIS = 2_000;
 
     private final Map<BackendId, Entry> mEntries = new HashMap<>();
 
-    /** One backend server. */
+    /** State of one backend server. */
     private static final class Entry {
         private LedgerSummary mHint;
         private long mHintAt;
@@ -23,19 +26,19 @@
         private long mSuspectUntil;
     }
 
-    /** Takes an owner's summary. */
+    /** Records the owner's summary of a ledger. */
     public void hint(LedgerSummary summary, long now) {
         Entry entry = entry(summary.backend());
         entry.mHint = summary;
         entry.mHintAt = now;
     }
 
-    /** Returns the last summary, if one was heard. */
+    /** Returns the last summary, if one was received. */
     public Optional<LedgerSummary> hint(BackendId backend) {
         return Optional.ofNullable(entry(backend).mHint);
     }
 
-    /** Returns the age of the last summary in milliseconds; 0 if none was heard. */
+    /** Returns the age of the last summary in milliseconds; 0 if none was received. */
     public long hintAgeMillis(BackendId backend, long now) {
         Entry entry = entry(backend);
         return entry.mHint == null ? 0 : Math.max(0, now - entry.mHintAt);
@@ -47,27 +50,27 @@
         entry.mInFlight = Math.max(0, entry.mInFlight + change);
     }
 
-    /** Returns the attempts that this host has on a backend server. */
+    /** Returns the number of in-flight attempts of this host on a backend server. */
     public int inFlight(BackendId backend) {
         return entry(backend).mInFlight;
     }
 
-    /** Notes that a new connection to a backend server failed. */
+    /** Records that a new connection to a backend server failed. */
     public void suspect(BackendId backend, long now) {
         entry(backend).mSuspectUntil = now + SUSPECT_MILLIS;
     }
 
-    /** Notes that a backend server answered. */
+    /** Records that a backend server responded. */
     public void answered(BackendId backend) {
         entry(backend).mSuspectUntil = 0;
     }
 
-    /** Returns whether a backend server was not reached lately. */
+    /** Returns whether a backend server was unreachable recently. */
     public boolean suspected(BackendId backend, long now) {
         return now < entry(backend).mSuspectUntil;
     }
 
-    /** Forgets backend servers that are not declared any more. */
+    /** Removes backend servers that are no longer declared. */
     public void retain(Map<BackendId, BackendSpec> declared) {
         mEntries.keySet().retainAll(declared.keySet());
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/Blackboard.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/Blackboard.java
@@ -10,15 +10,15 @@
 import org.cyclamenpaddle.routing.quarantine.Quarantine;
 
 /**
- * The tables of one entry host.
+ * The shared state of one entry host, held in tables with one lock each.
  *
- * <p>Controllers meet only here. Locks are taken in the order of {@link TableOrder}, and no table
- * is held over a call to another process.
+ * <p>Controllers share state only through these tables. Locks are acquired in the order of {@link
+ * TableOrder}, and no lock is held during a call to another process.
  *
  * @param configuration the configuration in force on this host
- * @param backends what is heard of backend servers
+ * @param backends state of the backend servers
  * @param grants ledgers of the backend servers that this host owns
- * @param requests what this host's requests hold
+ * @param requests attempts and grant requests of this host's requests
  * @param quarantine strikes and quarantine
  */
 public record Blackboard(
@@ -28,7 +28,7 @@
         Table<RequestTable> requests,
         Table<Quarantine> quarantine) {
 
-    /** Returns empty tables around a quarantine. */
+    /** Creates empty tables that include the given quarantine. */
     public static Blackboard create(Quarantine quarantine) {
         return new Blackboard(
                 new Table<>(TableOrder.CONFIGURATION, new ConfigurationState()),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/ConfigurationState.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/ConfigurationState.java
@@ -11,7 +11,7 @@
     private long mDigest;
     private long mConfirmedAt;
 
-    /** Returns the view. */
+    /** Returns the parsed configuration. */
     public ConfigurationView view() {
         return mView;
     }
@@ -31,12 +31,12 @@
         return mConfirmedAt;
     }
 
-    /** Puts a newer view in force. */
+    /** Replaces the configuration by a newer one. */
     public void apply(ConfigurationView view, long inForceVersion, long digest) {
         Invariants.require(
                 inForceVersion >= mInForceVersion,
                 () ->
-                        "preset in force went back from "
+                        "version of the preset in force must not decrease, got a change from "
                                 + mInForceVersion
                                 + " to "
                                 + inForceVersion);
@@ -45,7 +45,7 @@
         mDigest = digest;
     }
 
-    /** Notes that the configuration was confirmed. */
+    /** Records that the configuration was confirmed. */
     public void confirm(long now) {
         mConfirmedAt = now;
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
@@ -10,51 +10,53 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.message.GrantAsk;
 
-/** What this host's requests hold: attempts on backend servers, and room asked for. */
+/** Attempts on backend servers and grant requests of this host's requests. */
 public final class RequestTable {
 
     private final Map<AttemptId, BackendId> mRunning = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mAsked = new HashMap<>();
+    private final Map<AttemptId, GrantAsk> mRequestedGrants = new HashMap<>();
     private int mInFlight;
 
-    /** Counts a caller's request that came in ({@code 1}) or ended ({@code -1}). */
+    /** Counts a caller's request that started ({@code 1}) or ended ({@code -1}). */
     public void changeInFlight(int change) {
         mInFlight += change;
     }
 
-    /** Returns the callers' requests in flight. */
+    /** Returns the number of callers' requests in flight. */
     public int inFlight() {
         return mInFlight;
     }
 
-    /** Notes that an attempt starts. */
+    /** Records that an attempt starts. */
     public void started(AttemptId attempt, BackendId backend) {
         mRunning.put(attempt, backend);
     }
 
-    /** Notes that an attempt has ended; returns where it was running, if it was. */
+    /**
+     * Records that an attempt has ended; returns the backend server that was running it, if any.
+     */
     public Optional<BackendId> ended(AttemptId attempt) {
         return Optional.ofNullable(mRunning.remove(attempt));
     }
 
-    /** Notes that room was asked for. */
-    public void grantRequested(GrantAsk ask) {
-        mAsked.put(ask.attempt(), ask);
+    /** Records a grant request. */
+    public void grantRequested(GrantAsk request) {
+        mRequestedGrants.put(request.attempt(), request);
     }
 
-    /** Notes that room is not needed any more. */
+    /** Records that an attempt no longer needs its grant. */
     public void grantReleased(AttemptId attempt) {
-        mAsked.remove(attempt);
+        mRequestedGrants.remove(attempt);
     }
 
-    /** Returns the room asked for on a backend server, to tell a new owner. */
+    /** Returns the grant requests for a backend server, to register them with a new owner. */
     public List<GrantAsk> grantsRequestedOn(BackendId backend) {
-        return mAsked.values().stream()
-                .filter(ask -> ask.backend().equals(backend))
+        return mRequestedGrants.values().stream()
+                .filter(request -> request.backend().equals(backend))
                 .collect(Collectors.toList());
     }
 
-    /** Returns the attempts that this host stands for. */
+    /** Returns the running attempts that this host is responsible for. */
     public Set<AttemptId> attempts() {
         return Set.copyOf(mRunning.keySet());
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/SerialExecutor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/SerialExecutor.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Runs work in the order given, one piece at a time, on another executor.
+ * Runs tasks one at a time, in submission order, on an underlying executor.
  *
- * <p>A state machine that is fed through one of these needs no lock of its own.
+ * <p>A state machine whose events all pass through one serial executor needs no lock of its own.
  */
 public final class SerialExecutor implements Executor {
 
@@ -17,17 +17,17 @@
     private final AtomicInteger mPending = new AtomicInteger();
 
     /**
-     * Creates an executor without work.
+     * Creates an executor without tasks.
      *
-     * @param executor runs the work
+     * @param executor underlying executor that runs the tasks
      */
     public SerialExecutor(Executor executor) {
         mExecutor = executor;
     }
 
     @Override
-    public void execute(Runnable work) {
-        mQueue.add(work);
+    public void execute(Runnable task) {
+        mQueue.add(task);
         if (mPending.getAndIncrement() == 0) {
             mExecutor.execute(this::drain);
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/Workers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/Workers.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * A fixed pool of workers with timers.
+ * Fixed-size worker pool with timers.
  *
- * <p>Work must not block. Whatever a piece of work throws goes to the failure handler, which stops
- * the process: outcomes are values here, so an exception is a broken invariant.
+ * <p>Tasks must not block. Whatever a task throws is passed to the failure handler, which stops the
+ * process: expected failures are returned as values, so an exception means a broken invariant.
  */
 public final class Workers implements Executor, AutoCloseable {
 
@@ -23,7 +23,7 @@
      * Creates a pool.
      *
      * @param threads number of workers
-     * @param failureHandler what to do with an exception that work throws
+     * @param failureHandler handles exceptions thrown by tasks
      */
     public Workers(int threads, Consumer<Throwable> failureHandler) {
         AtomicInteger count = new AtomicInteger();
@@ -31,8 +31,8 @@
         mPool =
                 new ScheduledThreadPoolExecutor(
                         threads,
-                        work -> {
-                            Thread thread = new Thread(work, "worker-" + count.incrementAndGet());
+                        task -> {
+                            Thread thread = new Thread(task, "worker-" + count.incrementAndGet());
                             thread.setDaemon(true);
                             return thread;
                         });
@@ -40,19 +40,20 @@
     }
 
     @Override
-    public void execute(Runnable work) {
+    public void execute(Runnable task) {
         if (!mPool.isShutdown()) {
-            mPool.execute(guarded(work));
+            mPool.execute(guarded(task));
         }
     }
 
     /**
-     * Runs work with the result of a future that never fails by contract.
+     * Runs a task with the result of a future that by contract never completes exceptionally.
      *
-     * <p>What is thrown in a callback of a future is kept in the next future and seen by nobody; a
-     * broken invariant there would leave the process running. Here it reaches the handler.
+     * <p>An exception thrown in a callback of a future is captured in the dependent future and goes
+     * unnoticed, so the process would keep running with a broken invariant. Here it reaches the
+     * failure handler.
      */
-    public <T> void onResult(CompletableFuture<T> future, Consumer<T> work) {
+    public <T> void onResult(CompletableFuture<T> future, Consumer<T> task) {
         future.whenComplete(
                 (result, failure) ->
                         execute(
@@ -60,19 +61,19 @@
                                     if (failure != null) {
                                         throw new IllegalStateException(failure);
                                     }
-                                    work.accept(result);
+                                    task.accept(result);
                                 }));
     }
 
-    /** Runs work once after a delay in milliseconds. */
-    public ScheduledFuture<?> schedule(long delayMillis, Runnable work) {
-        return mPool.schedule(guarded(work), delayMillis, TimeUnit.MILLISECONDS);
+    /** Runs a task once after a delay in milliseconds. */
+    public ScheduledFuture<?> schedule(long delayMillis, Runnable task) {
+        return mPool.schedule(guarded(task), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs work again and again, with a pause in milliseconds between runs. */
-    public ScheduledFuture<?> scheduleWithFixedDelay(long periodMillis, Runnable work) {
+    /** Runs a task periodically, with a fixed delay in milliseconds between runs. */
+    public ScheduledFuture<?> scheduleWithFixedDelay(long periodMillis, Runnable task) {
         return mPool.scheduleWithFixedDelay(
-                guarded(work), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
+                guarded(task), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -80,10 +81,10 @@
         mPool.shutdownNow();
     }
 
-    private Runnable guarded(Runnable work) {
+    private Runnable guarded(Runnable task) {
         return () -> {
             try {
-                work.run();
+                task.run();
             } catch (RuntimeException | Error failure) {
                 mFailureHandler.accept(failure);
             }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/package-info.java
@@ -1,2 +1,2 @@
-/** The pool of workers that runs all controllers, and the timers that wake them. */
+/** The worker pool that runs all controllers, and the timers that trigger them. */
 package org.cyclamenpaddle.router.worker;
