--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A booking runs at most once, and "not run" is true, while platform and service fail. */
+/**
+ * Tests that a booking runs at most once, and that "not run" is true, while platform and service
+ * fail.
+ */
 public class BookingFailureTest {
 
     private TestFleet mFleet;
@@ -27,10 +30,10 @@
         mFleet.close();
     }
 
-    // The platform refuses every call. No claim can be had, so the caller hears "not run" at once
-    // with Retry-After, and nothing has run. When the platform is back the same key books once.
+    // The platform refuses every call, so no claim can be written. The caller gets "not run"
+    // immediately, with Retry-After, and nothing has run. After the outage the same key books once.
     @Test
-    public void platformAwayMeansNotRun() {
+    public void unreachablePlatformMeansNotRun() {
         mFleet.platform().outage(Outage.REFUSE);
 
         HttpResponse<String> refused = mFleet.caller("h1").book("k-away", "1");
@@ -45,10 +48,10 @@
         assertEquals(mFleet.runs("k-away"), 1);
     }
 
-    // The platform makes the claim but its answer is lost. The host reads back whose attempt it is
-    // and dispatches once; the resend at the other host gets the same answer.
+    // The platform writes the claim but its response is lost. The host reads back whose attempt the
+    // claim names and dispatches once; the resend at the other host gets the same response.
     @Test
-    public void lostClaimAnswerIsSettledByReadingBack() {
+    public void lostClaimResponseIsResolvedByReadingBack() {
         mFleet.platform().loseAnswers(1);
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-lost", "2");
@@ -59,8 +62,8 @@
         assertEquals(mFleet.runs("k-lost"), 1);
     }
 
-    // The service runs the booking and drops the connection before answering. It may have run, so
-    // the caller hears "unknown", never "not run"; resends at both hosts run nothing again.
+    // The service runs the booking and drops the connection before responding. The booking may have
+    // run, so the caller gets "unknown", never "not run"; resends at both hosts run nothing again.
     @Test
     public void lostServiceAnswerIsUnknownAndNeverRunsAgain() {
         mFleet.plain(1).loseAnswers(1);
@@ -76,23 +79,23 @@
         assertEquals(mFleet.runs("k-cut"), 1);
     }
 
-    // One instance of the service is down. No byte of the call can have left for it, so another
+    // One instance of the service is down. No byte of the call can have been sent to it, so another
     // instance is tried, and the booking runs there once.
     @Test
-    public void instanceThatIsDownIsPassedOver() {
+    public void unreachableInstanceIsSkipped() {
         mFleet.closePlain(1);
 
-        HttpResponse<String> answer = mFleet.caller("h1").book("k-down", "4");
+        HttpResponse<String> response = mFleet.caller("h1").book("k-down", "4");
 
-        assertEquals(answer.statusCode(), 200, answer.body());
+        assertEquals(response.statusCode(), 200, response.body());
         assertEquals(mFleet.runs("k-down"), 1);
     }
 
-    // The host that ran the booking dies with the answer. A resend at the other host finds the
-    // claim, can't ask its holder, and says that the call is not known to have run; it never runs
-    // again.
+    // The host that ran the booking dies, and the response with it. A resend at the other host
+    // finds the claim, cannot query its holder, and reports that the call is not known to have run;
+    // it never runs again.
     @Test
-    public void deadClaimerMeansNoSecondRun() {
+    public void deadClaimHolderMeansNoSecondRun() {
         mFleet.caller("h1").book("k-dead", "5");
         mFleet.killHost("h1");
 
@@ -103,7 +106,7 @@
         assertEquals(mFleet.runs("k-dead"), 1);
     }
 
-    // The same key comes with another body. It stands for another request, which is refused.
+    // The same key arrives with another body. It identifies another request, which is refused.
     @Test
     public void keyOfAnotherRequestIsRefused() {
         mFleet.caller("h1").book("k-twice", "6");
@@ -114,8 +117,8 @@
         assertEquals(mFleet.runs("k-twice"), 1);
     }
 
-    private String outcome(HttpResponse<String> answer) {
+    private String outcome(HttpResponse<String> response) {
         Caller any = mFleet.caller("h2");
-        return any.problem(answer).path("outcome").asText();
+        return any.problem(response).path("outcome").asText();
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Answers stay whole, once and in order, while engines, streams and transfers fail. */
+/**
+ * Tests that responses stay complete, without duplicates and in order, while engines, streams and
+ * transfers fail.
+ */
 public class BrokenEngineTest {
 
     private static final int TOKENS = 120;
@@ -32,49 +35,50 @@
         mFleet.close();
     }
 
-    // The decode engine dies after some tokens and comes back empty. The stream breaks, a new
-    // connection finds no such attempt, and the request is prefilled elsewhere with the tokens
-    // already sent. The caller sees one whole answer, token for token that of no failure.
+    // The decode engine crashes after some tokens and restarts empty. The stream breaks, a new
+    // connection finds no such attempt, and the request is prefilled on another engine with the
+    // tokens already sent. The caller receives one complete response, token for token the same as
+    // without the failure.
     @Test
-    public void answerIsWholeAfterDecodeEngineCrash() {
-        OpenAnswer answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+    public void responseIsCompleteAfterDecodeEngineCrash() {
+        OpenAnswer response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
         int busy = busyDecode();
         mFleet.decode(busy).restartAfterCrash(200);
 
         mFleet.decode(busy).crash();
 
-        assertEquals(answer.text(), AnswerText.whole(PROMPT, TOKENS));
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        assertEquals(response.text(), AnswerText.whole(PROMPT, TOKENS));
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
-    // Every open stream goes silent for good while new connections work, as when something between
-    // the two ends has lost track of them. After the silence the stream is resumed from its next
-    // index by a new connection.
+    // Every open stream goes silent permanently while new connections work, as when a network
+    // device between the two ends has lost its connection state. After the silence timeout the
+    // stream is resumed from its next index over a new connection.
     @Test
-    public void answerIsWholeAfterOpenStreamsGoSilent() {
-        OpenAnswer answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+    public void responseIsCompleteAfterOpenStreamsGoSilent() {
+        OpenAnswer response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
 
         mFleet.decode(busyDecode()).silenceStreams();
 
-        assertEquals(answer.text(), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(response.text(), AnswerText.whole(PROMPT, TOKENS));
     }
 
     // The first transfer stalls. Its deadline passes, the attempt is cancelled, and the request is
-    // placed again; the caller waits longer but gets its answer.
+    // placed again; the caller waits longer but gets its response.
     @Test
-    public void answerIsWholeAfterStalledTransfer() {
+    public void responseIsCompleteAfterStalledTransfer() {
         mFleet.prefill(1).stallTransfers(1);
         mFleet.prefill(2).stallTransfers(1);
 
-        HttpResponse<String> answer = mFleet.caller("h1").complete(PROMPT, 10, true);
+        HttpResponse<String> response = mFleet.caller("h1").complete(PROMPT, 10, true);
 
-        assertEquals(Caller.text(answer.body()), AnswerText.whole(PROMPT, 10));
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        assertEquals(Caller.text(response.body()), AnswerText.whole(PROMPT, 10));
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
-    // A request kills each engine that runs it, and its caller sends it again through the other
-    // host. After strikes on two distinct servers it is refused at once, on every host, with the
-    // reason; the other engines live on and serve other callers.
+    // A request crashes each engine that runs it, and its caller resends it through the other host.
+    // After strikes on two distinct servers every host refuses it immediately, with the reason; the
+    // other engines stay up and serve other callers.
     @Test
     public void crashingRequestIsQuarantinedOnEveryHost() {
         String poison = "Visit write-up CRASH-ENGINE";
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** No engine memory stays held for a caller who has gone. */
+/** Tests that no engine memory stays held for a caller that has disconnected. */
 public class CallerGoneTest {
 
     private static final int LONG_ANSWER = 4_000;
@@ -34,63 +34,63 @@
         mFleet.close();
     }
 
-    // The caller reads some tokens of a long answer and closes its connection. Nobody reads the
-    // rest, so the engine must be told; else the attempt would run to its end, a minute later.
+    // The caller reads some tokens of a long response and closes its connection. Nobody reads the
+    // rest, so the attempt must be cancelled on the engine; otherwise it would run to its end, a
+    // minute later.
     @Test
-    public void freesMemoryWhenCallerLeavesWhileStreaming() throws Exception {
+    public void freesMemoryWhenCallerDisconnectsWhileStreaming() throws Exception {
         leaveWhileStreaming();
 
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
-    // The same, but the engine loses the first three cancels with their connections. A cancel that
-    // is not confirmed is repeated, so the fourth frees the memory.
+    // As above, but the engine loses the first three cancels with their connections. A cancel that
+    // is not confirmed is retried, so the fourth frees the memory.
     @Test
     public void freesMemoryWhenCancelsAreLost() throws Exception {
         mFleet.decode(1).loseCancels(3);
 
         leaveWhileStreaming();
 
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
-    // The caller leaves while the prefill of a long prompt, 0.6 s, is computed, before any token.
-    // The
-    // prefill must be cancelled and no decode started for it.
+    // The caller disconnects while the prefill of a long prompt, 0.6 s, is computed, before any
+    // token. The prefill must be cancelled and no decode started for it.
     @Test
-    public void freesMemoryWhenCallerLeavesDuringPrefill() {
-        CompletableFuture<HttpResponse<String>> answer =
+    public void freesMemoryWhenCallerDisconnectsDuringPrefill() {
+        CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeLater(PROMPT.repeat(1_000), LONG_ANSWER);
         Await.until("prefill holds memory", () -> mFleet.prefill(1).heldPieces() > 0);
 
-        answer.cancel(true);
+        response.cancel(true);
 
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
         assertEquals(mFleet.decode(1).heldPieces(), 0);
     }
 
-    // The entry host is killed in the middle of an answer, with everything it knew. The attempt's
-    // id names the dead host's life; the owner of the engine finds it in the engine's own list and
-    // cancels it once the death is confirmed.
+    // The entry host is killed in the middle of a response and loses all its state. The attempt's
+    // id names the incarnation of the dead host; the owner of the engine finds the attempt in the
+    // engine's own list and cancels it once the death is confirmed.
     @Test
     public void freesMemoryWhenEntryHostDies() throws Exception {
-        CompletableFuture<HttpResponse<InputStream>> answer =
+        CompletableFuture<HttpResponse<InputStream>> response =
                 mFleet.caller("h1").open(PROMPT, LONG_ANSWER);
-        answer.get().body().read(new byte[100]);
+        response.get().body().read(new byte[100]);
         assertTrue(mFleet.decode(1).heldPieces() > 0);
 
         mFleet.killHost("h1");
 
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
                 AnswerText.whole(PROMPT, 5));
     }
 
     private void leaveWhileStreaming() throws IOException {
-        HttpResponse<InputStream> answer = mFleet.caller("h1").open(PROMPT, LONG_ANSWER).join();
-        answer.body().read(new byte[100]);
-        assertTrue(mFleet.decode(1).heldPieces() > 0, "the answer is under way");
-        answer.body().close();
+        HttpResponse<InputStream> response = mFleet.caller("h1").open(PROMPT, LONG_ANSWER).join();
+        response.body().read(new byte[100]);
+        assertTrue(mFleet.decode(1).heldPieces() > 0, "the response is in flight");
+        response.body().close();
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
@@ -8,13 +8,13 @@
 import org.cyclamenpaddle.standins.engine.EngineStandin;
 import org.cyclamenpaddle.standins.platform.Outage;
 
-/** What {@link FleetChaosRun} does to the stand-ins around a fleet. */
+/** Faults that {@link FleetChaosRun} injects into the stand-ins around a fleet. */
 enum ChaosFault {
     ENGINE_CRASH {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
             EngineStandin engine = engine(fleet, random);
-            engine.restartAfterCrash(random.nextInt(LONGEST_DOWN_MILLIS));
+            engine.restartAfterCrash(random.nextInt(MAX_DOWNTIME_MILLIS));
             engine.crash();
         }
     },
@@ -27,13 +27,13 @@
     LOST_CANCELS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            engine(fleet, random).loseCancels(1 + random.nextInt(FEW));
+            engine(fleet, random).loseCancels(1 + random.nextInt(MAX_FAULT_COUNT));
         }
     },
     STALLED_TRANSFERS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            engine(fleet, random).stallTransfers(1 + random.nextInt(FEW));
+            engine(fleet, random).stallTransfers(1 + random.nextInt(MAX_FAULT_COUNT));
         }
     },
     PLATFORM_OUTAGE {
@@ -51,13 +51,13 @@
     PLATFORM_LOST_ANSWERS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            fleet.platform().loseAnswers(1 + random.nextInt(FEW));
+            fleet.platform().loseAnswers(1 + random.nextInt(MAX_FAULT_COUNT));
         }
     },
     SERVICE_LOST_ANSWERS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            fleet.plain(1 + random.nextInt(PLAIN)).loseAnswers(1 + random.nextInt(FEW));
+            fleet.plain(1 + random.nextInt(PLAIN)).loseAnswers(1 + random.nextInt(MAX_FAULT_COUNT));
         }
     };
 
@@ -65,8 +65,8 @@
     static final int DECODE = 2;
     static final int PLAIN = 2;
 
-    private static final int FEW = 3;
-    private static final int LONGEST_DOWN_MILLIS = 1_000;
+    private static final int MAX_FAULT_COUNT = 3;
+    private static final int MAX_DOWNTIME_MILLIS = 1_000;
 
     abstract void inject(TestFleet fleet, UniformRandomProvider random);
 
@@ -80,8 +80,8 @@
         engines(fleet).forEach(engine -> engine.stallTransfers(0));
     }
 
-    /** Returns all faults in an order that {@code random} draws. */
-    static List<ChaosFault> round(UniformRandomProvider random) {
+    /** Returns all faults in an order drawn from {@code random}. */
+    static List<ChaosFault> shuffled(UniformRandomProvider random) {
         ChaosFault[] faults = values();
         for (int i = faults.length - 1; i > 0; i--) {
             int other = random.nextInt(i + 1);
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** An accepted preset is in force everywhere and never reverts, whatever the platform does. */
+/**
+ * Tests that an accepted preset comes into force on every host and never reverts while the platform
+ * fails.
+ */
 public class ConfigurationFailureTest {
 
     private static final String PROMPT = "Contract summary for a broker. ";
@@ -38,46 +41,47 @@
         mFleet.close();
     }
 
-    // Two operators at two hosts put different presets in force at the same moment, both having
-    // seen the same version. One wins; the other is told who won, and every host follows the
-    // winner.
+    // Two operators at two hosts put different presets in force concurrently, both based on the
+    // same version. One succeeds; the other is refused with the winning change, and every host
+    // applies the winner.
     @Test
-    public void raceOfPresetsHasOneWinnerAndToldLoser() {
-        long seen = mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
+    public void concurrentPresetUpdatesReportWinnerToLoser() {
+        long baseVersion =
+                mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
 
         CompletableFuture<HttpResponse<String>> first =
-                CompletableFuture.supplyAsync(() -> use("h1", "peak", seen));
+                CompletableFuture.supplyAsync(() -> use("h1", "peak", baseVersion));
         CompletableFuture<HttpResponse<String>> second =
-                CompletableFuture.supplyAsync(() -> use("h2", "maintenance", seen));
+                CompletableFuture.supplyAsync(() -> use("h2", "maintenance", baseVersion));
 
-        List<HttpResponse<String>> answers = List.of(first.join(), second.join());
+        List<HttpResponse<String>> responses = List.of(first.join(), second.join());
         List<Integer> codes =
-                answers.stream()
+                responses.stream()
                         .map(HttpResponse::statusCode)
                         .sorted()
                         .collect(Collectors.toList());
         assertEquals(codes, List.of(200, 409));
-        String winner = answers.get(0).statusCode() == 200 ? "peak" : "maintenance";
-        HttpResponse<String> lost = answers.get(answers.get(0).statusCode() == 409 ? 0 : 1);
-        JsonNode told = mFleet.caller("h1").problem(lost).path("winner").path("spec");
-        assertEquals(told.path("preset").asText(), winner, lost.body());
+        String winner = responses.get(0).statusCode() == 200 ? "peak" : "maintenance";
+        HttpResponse<String> refused = responses.get(responses.get(0).statusCode() == 409 ? 0 : 1);
+        JsonNode reported = mFleet.caller("h1").problem(refused).path("winner").path("spec");
+        assertEquals(reported.path("preset").asText(), winner, refused.body());
         awaitInForce(winner);
     }
 
-    // One operator deletes a preset while another puts it in force at another host. Each check
-    // passes
-    // before the other's write in some of the rounds. Whoever wins, the preset in force must exist
-    // afterwards, or every host would refuse all requests.
+    // One operator deletes a preset while another puts it in force at another host. In some of the
+    // rounds each check passes before the other's write. Whichever succeeds, the preset in force
+    // must exist afterwards, or every host would refuse all requests.
     @Test
     public void presetInForceSurvivesRacingDeletion() {
         for (int round = 0; round < 12; round++) {
             String preset = "race-" + round;
             mFleet.operator("h1").create("preset", preset, presetLike(preset));
-            long seen = mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
+            long baseVersion =
+                    mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
             long version = mFleet.operator("h1").show("preset", preset).path("version").asLong();
 
             CompletableFuture<HttpResponse<String>> used =
-                    CompletableFuture.supplyAsync(() -> use("h1", preset, seen));
+                    CompletableFuture.supplyAsync(() -> use("h1", preset, baseVersion));
             CompletableFuture<HttpResponse<String>> deleted =
                     CompletableFuture.supplyAsync(
                             () -> mFleet.operator("h2").delete("preset", preset, version));
@@ -85,29 +89,31 @@
             boolean inForce = used.join().statusCode() == 200;
             deleted.join();
             boolean exists = mFleet.platform().value("config/preset/" + preset).isPresent();
-            assertTrue(exists || !inForce, "round " + round + ": preset in force is gone");
+            assertTrue(exists || !inForce, "round " + round + ": preset in force does not exist");
         }
     }
 
-    // The platform puts the preset in force, but its answer to the host is lost. The host finds its
-    // own change id in the object, so the operator hears that the change was accepted.
+    // The platform puts the preset in force, but its response to the host is lost. The host finds
+    // its own change id in the object, so the operator's request succeeds.
     @Test
-    public void lostAnswerOfAcceptedPresetIsSettled() {
-        long seen = mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
+    public void lostResponseOfAcceptedPresetIsResolved() {
+        long baseVersion =
+                mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
         mFleet.platform().loseAnswers(1);
 
-        HttpResponse<String> answer = use("h1", "peak", seen);
+        HttpResponse<String> response = use("h1", "peak", baseVersion);
 
-        assertEquals(answer.statusCode(), 200, answer.body());
+        assertEquals(response.statusCode(), 200, response.body());
         awaitInForce("peak");
     }
 
-    // The platform is away when a host starts. It takes the configuration from its peers, with the
-    // preset last accepted, and serves; changes are refused meanwhile as not made.
+    // The platform is unreachable when a host starts. The host takes the configuration from its
+    // peers, with the preset last accepted, and serves; meanwhile, changes are refused as not made.
     @Test
     public void hostStartsAndServesWhilePlatformIsAway() {
-        long seen = mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
-        assertEquals(use("h1", "peak", seen).statusCode(), 200);
+        long baseVersion =
+                mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
+        assertEquals(use("h1", "peak", baseVersion).statusCode(), 200);
         mFleet.platform().outage(Outage.REFUSE);
         mFleet.killHost("h3");
 
@@ -121,21 +127,21 @@
         assertEquals(
                 Caller.text(mFleet.caller("h3").complete(PROMPT, 4, true).body()),
                 AnswerText.whole(PROMPT, 4));
-        HttpResponse<String> refused = use("h3", "maintenance", seen);
+        HttpResponse<String> refused = use("h3", "maintenance", baseVersion);
         assertTrue(refused.statusCode() >= 500, refused.body());
         assertEquals(inForce("h3"), "peak");
     }
 
-    // The platform is slow to the point that every call times out, for long. What is in force stays
-    // in force on every host, and requests are served all the while.
+    // The platform is so slow that every call times out, for a long time. The preset in force stays
+    // in force on every host, and requests are served throughout.
     @Test
     public void hostsKeepServingByLastConfigurationWhilePlatformHangs() {
         mFleet.platform().outage(Outage.HANG);
 
         for (int i = 0; i < 6; i++) {
             String host = "h" + (1 + i % 3);
-            HttpResponse<String> answer = mFleet.caller(host).complete(PROMPT + i, 4, true);
-            assertEquals(answer.statusCode(), 200, answer.body());
+            HttpResponse<String> response = mFleet.caller(host).complete(PROMPT + i, 4, true);
+            assertEquals(response.statusCode(), 200, response.body());
         }
 
         assertEquals(inForce("h2"), "ordinary");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
@@ -22,8 +22,8 @@
 import org.cyclamenpaddle.standins.engine.AnswerText;
 
 /**
- * Callers stream and book at three hosts while faults come; what callers, faults and pauses are
- * comes from one seed, what the threads make of it does not.
+ * Callers that stream and book at three hosts while faults are injected. Calls, faults and pauses
+ * are derived from one seed; thread scheduling is not.
  */
 final class FleetChaosRun {
 
@@ -31,20 +31,20 @@
     private static final int CALLERS = 6;
     private static final int STREAM_PERCENT = 65;
     private static final int PERCENT = 100;
-    private static final int LONGEST_ANSWER = 40;
-    private static final int SENDS = 4;
-    private static final int LONGEST_CALM_MILLIS = 500;
+    private static final int MAX_ANSWER_TOKENS = 40;
+    private static final int MAX_SENDS = 4;
+    private static final int MAX_FAULT_INTERVAL_MILLIS = 500;
     private static final String PROMPT = "Visit report, extinguisher round in Narrogin, ";
 
     private final TestFleet mFleet;
     private final long mSeed;
     private final long mEndNanos;
     private final List<ChaosFault> mInjected = new ArrayList<>();
-    private final Queue<String> mWrong = new ConcurrentLinkedQueue<>();
+    private final Queue<String> mViolations = new ConcurrentLinkedQueue<>();
     private final Map<String, String> mLastOutcomes = new ConcurrentHashMap<>();
-    private final AtomicInteger mWhole = new AtomicInteger();
-    private final AtomicInteger mNotWhole = new AtomicInteger();
-    private volatile boolean mEnough;
+    private final AtomicInteger mComplete = new AtomicInteger();
+    private final AtomicInteger mIncomplete = new AtomicInteger();
+    private volatile boolean mStopped;
 
     FleetChaosRun(TestFleet fleet, long seed, long millis) {
         mFleet = fleet;
@@ -52,7 +52,10 @@
         mEndNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** Runs callers and faults to the end, and at least every fault once; then lets all settle. */
+    /**
+     * Runs callers and faults until the end time, injects every fault at least once, and then waits
+     * until the fleet has recovered.
+     */
     void run() {
         ExecutorService threads = Executors.newFixedThreadPool(CALLERS);
         List<CompletableFuture<Void>> callers =
@@ -60,41 +63,44 @@
                         .mapToObj(
                                 number ->
                                         CompletableFuture.runAsync(
-                                                () -> keepCalling(number), threads))
+                                                () -> callUntilStopped(number), threads))
                         .toList();
         injectFaults();
         ChaosFault.endAll(mFleet);
-        mEnough = true;
+        mStopped = true;
         callers.forEach(CompletableFuture::join);
         threads.shutdown();
         checkBookings();
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
         HOSTS.forEach(this::awaitService);
     }
 
-    /** Returns what broke a promise; empty if nothing did. */
-    List<String> wrong() {
-        return List.copyOf(mWrong);
+    /** Returns the violated guarantees; empty if there are none. */
+    List<String> violations() {
+        return List.copyOf(mViolations);
     }
 
-    /** Returns finished answers, all of them whole unless {@link #wrong} says otherwise. */
-    int whole() {
-        return mWhole.get();
+    /**
+     * Returns the number of finished responses, all of them complete unless {@link #violations}
+     * says otherwise.
+     */
+    int completeAnswers() {
+        return mComplete.get();
     }
 
-    /** Returns keys whose last answer was that of the booking. */
+    /** Returns the number of keys whose last response was that of the booking. */
     long booked() {
         return mLastOutcomes.values().stream().filter("ran"::equals).count();
     }
 
-    /** Returns figures and faults, for whoever looks into a failed run. */
+    /** Returns counts and faults, to diagnose a failed run. */
     @Override
     public String toString() {
-        return "seed %d: %d whole, %d failed as they may, %d keys, %d booked, faults %s"
+        return "seed %d: %d complete, %d failed as permitted, %d keys, %d booked, faults %s"
                 .formatted(
                         mSeed,
-                        mWhole.get(),
-                        mNotWhole.get(),
+                        mComplete.get(),
+                        mIncomplete.get(),
                         mLastOutcomes.size(),
                         booked(),
                         mInjected);
@@ -103,79 +109,82 @@
     private void injectFaults() {
         UniformRandomProvider random = random(CALLERS);
         do {
-            for (ChaosFault fault : ChaosFault.round(random)) {
+            for (ChaosFault fault : ChaosFault.shuffled(random)) {
                 fault.inject(mFleet, random);
                 mInjected.add(fault);
-                Await.pause(random.nextInt(LONGEST_CALM_MILLIS));
+                Await.pause(random.nextInt(MAX_FAULT_INTERVAL_MILLIS));
             }
         } while (System.nanoTime() < mEndNanos);
     }
 
-    private void keepCalling(int number) {
+    private void callUntilStopped(int number) {
         UniformRandomProvider random = random(number);
-        for (int i = 0; !mEnough; i++) {
+        for (int i = 0; !mStopped; i++) {
             String name = number + "-" + i;
             Try.run(() -> call(name, random))
-                    .onFailure(cut -> mWrong.add("call " + name + " was cut off: " + cut));
+                    .onFailure(failure -> mViolations.add("call " + name + " failed: " + failure));
         }
     }
 
     private void call(String name, UniformRandomProvider random) {
         if (random.nextInt(PERCENT) < STREAM_PERCENT) {
-            stream(host(random), PROMPT + name, 1 + random.nextInt(LONGEST_ANSWER));
+            stream(host(random), PROMPT + name, 1 + random.nextInt(MAX_ANSWER_TOKENS));
         } else {
             book("key-" + name, random);
         }
     }
 
     private void stream(String host, String prompt, int tokens) {
-        HttpResponse<String> answer = mFleet.caller(host).complete(prompt, tokens, true);
-        if (answer.body().contains("event: error") || answer.statusCode() != 200) {
-            mNotWhole.incrementAndGet();
+        HttpResponse<String> response = mFleet.caller(host).complete(prompt, tokens, true);
+        if (response.body().contains("event: error") || response.statusCode() != 200) {
+            mIncomplete.incrementAndGet();
         } else {
-            finished(host, answer, AnswerText.whole(prompt, tokens));
+            finished(host, response, AnswerText.whole(prompt, tokens));
         }
     }
 
-    private void finished(String host, HttpResponse<String> answer, String whole) {
-        String text = Caller.text(answer.body());
-        if (text.equals(whole)) {
-            mWhole.incrementAndGet();
+    private void finished(String host, HttpResponse<String> response, String expected) {
+        String text = Caller.text(response.body());
+        if (text.equals(expected)) {
+            mComplete.incrementAndGet();
             return;
         }
-        String request = answer.headers().firstValue("X-Request-Id").orElse("");
-        mWrong.add(
-                "answered: %s%n whole: %s%n explained: %s"
-                        .formatted(text, whole, mFleet.operator(host).explain(request)));
+        String request = response.headers().firstValue("X-Request-Id").orElse("");
+        mViolations.add(
+                "received: %s%n expected: %s%n explanation: %s"
+                        .formatted(text, expected, mFleet.operator(host).explain(request)));
     }
 
-    /** Sends a booking, and resends it anywhere until it ran, or its caller has had enough. */
+    /**
+     * Sends a booking and resends it at random hosts until it ran, at most {@link #MAX_SENDS} times
+     * in all.
+     */
     private void book(String key, UniformRandomProvider random) {
         String outcome = "";
-        for (int i = 0; i < SENDS && !outcome.equals("ran"); i++) {
-            HttpResponse<String> answer = mFleet.caller(host(random)).book(key, "1");
-            outcome = outcome(answer);
+        for (int i = 0; i < MAX_SENDS && !outcome.equals("ran"); i++) {
+            HttpResponse<String> response = mFleet.caller(host(random)).book(key, "1");
+            outcome = outcome(response);
             if (outcome.equals("not-run") && mFleet.runs(key) > 0) {
-                mWrong.add(key + " ran and was answered " + answer.body());
+                mViolations.add(key + " ran, but the response was " + response.body());
             }
         }
         mLastOutcomes.put(key, outcome);
     }
 
-    private String outcome(HttpResponse<String> answer) {
-        return answer.statusCode() == 200
+    private String outcome(HttpResponse<String> response) {
+        return response.statusCode() == 200
                 ? "ran"
-                : mFleet.caller(HOSTS.get(0)).problem(answer).path("outcome").asText();
+                : mFleet.caller(HOSTS.get(0)).problem(response).path("outcome").asText();
     }
 
     private void checkBookings() {
         mLastOutcomes.forEach(
                 (key, outcome) -> {
                     int runs = mFleet.runs(key);
-                    boolean few = outcome.equals("ran") && runs == 0;
-                    boolean many = runs > (outcome.equals("not-run") ? 0 : 1);
-                    if (few || many) {
-                        mWrong.add(key + " ran " + runs + " times, last outcome " + outcome);
+                    boolean missing = outcome.equals("ran") && runs == 0;
+                    boolean repeated = runs > (outcome.equals("not-run") ? 0 : 1);
+                    if (missing || repeated) {
+                        mViolations.add(key + " ran " + runs + " times, last outcome " + outcome);
                     }
                 });
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Promises to callers hold while many faults come at once. */
+/** Tests that the guarantees to callers hold while many faults occur at once. */
 public class FleetChaosTest {
 
     private static final long SEED = Long.getLong("cyclamenpaddle.chaos.seed", 7);
@@ -34,16 +34,16 @@
         mFleet.close();
     }
 
-    // Engines crash, go silent, lose cancels and stall; the platform goes away and loses answers;
-    // services lose answers; callers stream and book all the while. Every answer that finishes is
-    // whole, no key runs twice, "not run" is true, and in the end nothing is held for anyone.
+    // Engines crash, go silent, lose cancels and stall; the platform becomes unreachable and loses
+    // responses; services lose responses; callers stream and book throughout. Every response that
+    // finishes is complete, no key runs twice, "not run" is true, and at the end no memory is held.
     @Test
-    public void promisesHoldUnderSeededFaults() {
+    public void guaranteesHoldUnderSeededFaults() {
         FleetChaosRun run = new FleetChaosRun(mFleet, SEED, TimeUnit.SECONDS.toMillis(SECONDS));
 
         run.run();
 
-        assertEquals(run.wrong(), List.of(), run + ", wrong: " + run.wrong());
-        assertTrue(run.whole() > 0 && run.booked() > 0, run.toString());
+        assertEquals(run.violations(), List.of(), run + ", violations: " + run.violations());
+        assertTrue(run.completeAnswers() > 0 && run.booked() > 0, run.toString());
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Entry hosts in processes of their own are told to stop, and killed. */
+/** Tests entry hosts in processes of their own that are stopped gracefully or killed. */
 public class HostSignalTest {
 
     private static final int CALLERS = 4;
@@ -31,14 +31,14 @@
     private static final String PROMPT = "Rail wagon plan for malting barley, Merredin. ";
     private static final List<String> HOSTS = List.of("h1", "h2", "h3");
 
-    private final AtomicBoolean mEnough = new AtomicBoolean();
+    private final AtomicBoolean mStopped = new AtomicBoolean();
     private final AtomicInteger mAnswers = new AtomicInteger();
     private List<CompletableFuture<Void>> mCallers = List.of();
     private TestFleet mFleet;
 
     @BeforeMethod
     public void start() {
-        mEnough.set(false);
+        mStopped.set(false);
         mAnswers.set(0);
         mFleet =
                 new TestFleet()
@@ -50,48 +50,51 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mEnough.set(true);
+        mStopped.set(true);
         mFleet.close();
     }
 
-    // Each host in turn gets SIGTERM while callers stream through whichever host says that it is
-    // ready, as behind a balancer, and a new process takes its name. Readiness turns before work is
-    // refused, answers under way go on to their end, so no caller sees a failure or a cut.
+    // Each host in turn gets SIGTERM while callers stream through whichever host reports that it is
+    // ready, as behind a load balancer, and a new process takes its name. Readiness changes before
+    // work is refused, and in-flight responses continue to their end, so no caller sees a failure
+    // or a truncated response.
     @Test
     public void rollingRestartFailsNoRequest() {
         mCallers =
                 IntStream.range(0, CALLERS)
-                        .mapToObj(number -> CompletableFuture.runAsync(() -> keepCalling(number)))
+                        .mapToObj(
+                                number ->
+                                        CompletableFuture.runAsync(() -> callUntilStopped(number)))
                         .toList();
 
         for (String name : HOSTS) {
             awaitMoreAnswers();
-            HostProcess old = mFleet.process(name);
-            old.terminate();
-            assertEquals(old.exitCode(), EXIT_AFTER_SIGTERM);
+            HostProcess terminated = mFleet.process(name);
+            terminated.terminate();
+            assertEquals(terminated.exitCode(), EXIT_AFTER_SIGTERM);
             mFleet.startProcess(name);
             Await.until(name + " is ready again", () -> mFleet.takesCallers(name));
         }
         awaitMoreAnswers();
-        mEnough.set(true);
+        mStopped.set(true);
 
         mCallers.forEach(CompletableFuture::join);
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
-    // The process that streams an answer gets SIGKILL, with everything it knew. The attempt's id
-    // names the dead life, so the engine's owner among the others finds and cancels it; else the
-    // attempt would hold its memory to its end, a minute later.
+    // The process that streams a response gets SIGKILL and loses all its state. The attempt's id
+    // names the dead incarnation, so the engine's owner among the other hosts finds and cancels it;
+    // otherwise the attempt would hold its memory to its end, a minute later.
     @Test
     public void freesMemoryWhenHostProcessIsKilled() throws Exception {
-        CompletableFuture<HttpResponse<InputStream>> answer =
+        CompletableFuture<HttpResponse<InputStream>> response =
                 mFleet.caller("h1").open(PROMPT, LONG_ANSWER);
-        answer.get().body().read(new byte[100]);
-        assertTrue(mFleet.heldPieces() > 0, "the answer is under way");
+        response.get().body().read(new byte[100]);
+        assertTrue(mFleet.heldPieces() > 0, "the response is in flight");
 
         mFleet.process("h1").kill();
 
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
                 AnswerText.whole(PROMPT, 5));
@@ -100,7 +103,8 @@
     private void awaitMoreAnswers() {
         int before = mAnswers.get();
         Await.until(
-                "every caller goes on", () -> failed() || mAnswers.get() >= before + 2 * CALLERS);
+                "every caller makes progress",
+                () -> failed() || mAnswers.get() >= before + 2 * CALLERS);
         mCallers.stream()
                 .filter(CompletableFuture::isCompletedExceptionally)
                 .forEach(CompletableFuture::join);
@@ -110,21 +114,23 @@
         return mCallers.stream().anyMatch(CompletableFuture::isCompletedExceptionally);
     }
 
-    private void keepCalling(int number) {
-        for (int i = 0; !mEnough.get(); i++) {
+    private void callUntilStopped(int number) {
+        for (int i = 0; !mStopped.get(); i++) {
             String prompt = PROMPT + number + " " + i;
             String host = readyHost(number + i);
-            HttpResponse<String> answer = mFleet.caller(host).complete(prompt, TOKENS, true);
+            HttpResponse<String> response = mFleet.caller(host).complete(prompt, TOKENS, true);
             assertEquals(
-                    answer.statusCode(), 200, answer.statusCode() == 200 ? "" : told(host, answer));
-            assertEquals(Caller.text(answer.body()), AnswerText.whole(prompt, TOKENS));
+                    response.statusCode(),
+                    200,
+                    response.statusCode() == 200 ? "" : describeFailure(host, response));
+            assertEquals(Caller.text(response.body()), AnswerText.whole(prompt, TOKENS));
             mAnswers.incrementAndGet();
         }
     }
 
-    private String told(String host, HttpResponse<String> answer) {
-        String request = answer.headers().firstValue("X-Request-Id").orElse("");
-        return host + ": " + answer.body() + " " + mFleet.operator(host).explain(request);
+    private String describeFailure(String host, HttpResponse<String> response) {
+        String request = response.headers().firstValue("X-Request-Id").orElse("");
+        return host + ": " + response.body() + " " + mFleet.operator(host).explain(request);
     }
 
     private String readyHost(int first) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Engines come in line with the preset in force, and no answer is cut off on the way. */
+/**
+ * Tests that engines are reconciled with the preset in force, and that no response is cut off
+ * meanwhile.
+ */
 public class OrderTest {
 
     private static final int TOKENS = 120;
@@ -45,18 +48,18 @@
         mFleet.close();
     }
 
-    // A preset takes a decode engine for prefill while it streams an answer. The answer goes on to
-    // its end, since the engine is ordered only when it runs nothing; then it serves in its new
-    // role, and nothing was cut off.
+    // A preset assigns a decode engine to prefill while it streams a response. The response
+    // continues to its end, since the engine is ordered only when it runs nothing; then it serves
+    // in its new role, and nothing was cut off.
     @Test
     public void engineFinishesAnswersBeforeItsRoleIsSwapped() {
-        CompletableFuture<HttpResponse<String>> answer =
+        CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeLater(PROMPT, TOKENS);
         String busy = awaitBusy();
 
         use(swapped(busy));
 
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(response.join().body()), AnswerText.whole(PROMPT, TOKENS));
         awaitRoles(swapped(busy));
         long before = mFleet.decode(number(busy)).counts().prefilledTokens();
         awaitServed("h1");
@@ -66,11 +69,12 @@
                 () -> mFleet.decode(number(busy)).counts().prefilledTokens() > before);
     }
 
-    // A former owner's order reaches an engine late, with the number from before the last change.
-    // The engine refuses it and stays as asked. An order from outside with a higher number is
-    // obeyed; the owner sees it in the next report and orders again, with a number above.
+    // A former owner's order reaches an engine late, with the fencing token from before the last
+    // change. The engine refuses it and keeps the requested setup. An external order with a higher
+    // token is obeyed; the owner sees it in the next report and orders again, with a still higher
+    // token.
     @Test
-    public void oldOrderIsRefusedAndForeignOneCorrected() {
+    public void staleOrderIsRefusedAndForeignOrderCorrected() {
         long first = mFleet.engineState("d1").path("fence").asLong();
         use(swapped("d1"));
         awaitRoles(swapped("d1"));
@@ -85,10 +89,10 @@
     }
 
     // The owner of an engine is killed while it drains it for another role. The next owner finds
-    // the engine in its old role, drains and orders it anew, and the answer that runs on it still
-    // ends whole.
+    // the engine in its old role, drains and orders it again, and the response that runs on it
+    // still completes.
     @Test
-    public void nextOwnerEndsChangeOfKilledOne() {
+    public void newOwnerCompletesChangeOfKilledOwner() {
         String owner = owner("d1");
         String other = owner.equals("h1") ? "h2" : "h1";
         CompletableFuture<HttpResponse<String>> onFirst =
@@ -112,12 +116,11 @@
         assertEquals(cutOff(), 0);
     }
 
-    // While the platform is away, an engine is set up wrongly from outside. No host may order,
-    // since
-    // no fencing number can be had, and the other engines serve on; once the platform is back, the
-    // engine is ordered as asked.
+    // While the platform is unreachable, an engine gets a wrong setup from an external order. No
+    // host may send an order, since no fencing token can be taken, and the other engines continue
+    // to serve; after the outage the engine is ordered to its requested setup.
     @Test
-    public void nothingIsOrderedWhilePlatformIsAway() {
+    public void noOrderIsSentWhilePlatformIsUnreachable() {
         long above = mFleet.engineState("d1").path("fence").asLong() + 50;
         mFleet.platform().outage(Outage.REFUSE);
 
@@ -190,7 +193,7 @@
                 "swapped",
                 "{\"name\": \"swapped\", \"description\": \"\", \"assignments\": [%s]}"
                         .formatted(assignments));
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 operator.put(
                         "in-force",
                         "preset",
@@ -199,7 +202,7 @@
                         operator.show("in-force", "preset").path("version").asText(),
                         "X-Change-Id",
                         Operator.changeId());
-        assertEquals(answer.statusCode(), 200, answer.body());
+        assertEquals(response.statusCode(), 200, response.body());
     }
 
     private void awaitRoles(Map<String, String> roles) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A host stands still for a while, as in a long pause of its machine, and goes on. */
+/** Tests a host that is paused for some time, as in a long pause of its machine, and resumes. */
 public class PausedHostTest {
 
     private static final long SERVICE_MILLIS = 1_000;
@@ -47,11 +47,11 @@
         mRelay.close();
     }
 
-    // The claim is in the platform's store, and the host stands still before it hears so. The
-    // caller resends at another host, which can't know whether the claimer has sent the call. When
-    // the claimer goes on, the call runs once at the most.
+    // The claim is in the platform's store, and the host is paused before it receives the response.
+    // The caller resends at another host, which cannot know whether the claim holder has sent the
+    // call. After the claim holder resumes, the call runs at most once.
     @Test
-    public void pauseBetweenClaimAndCallRunsBookingOnceAtMost() {
+    public void pauseBetweenClaimAndCallRunsBookingAtMostOnce() {
         CompletableFuture<HttpResponse<String>> first = claimAndPause("k-claimed");
 
         HttpResponse<String> again = mFleet.caller("h2").book("k-claimed", "1");
@@ -60,10 +60,10 @@
         awaitTrueAnswers("k-claimed", first, again);
     }
 
-    // The same, but the claimer is declared dead before the resend, and goes on after that. It is
-    // late with a call that others think lost; their answer must have left room for it.
+    // As above, but the claim holder is declared dead before the resend and resumes after it. It
+    // sends late a call that other hosts consider lost; their response must have allowed for that.
     @Test
-    public void claimerDeclaredDeadRunsBookingOnceAtMost() {
+    public void claimHolderDeclaredDeadRunsBookingAtMostOnce() {
         CompletableFuture<HttpResponse<String>> first = claimAndPause("k-buried");
         awaitDead();
 
@@ -73,8 +73,8 @@
         awaitTrueAnswers("k-buried", first, again);
     }
 
-    // The call has reached the service, and the host stands still while the service works on it.
-    // The caller resends at another host before and after the booking ran.
+    // The call has reached the service, and the host is paused while the service processes it. The
+    // caller resends at another host before and after the booking ran.
     @Test
     public void pauseDuringCallRunsBookingOnce() {
         mFleet.plain(1).delay(SERVICE_MILLIS);
@@ -91,15 +91,16 @@
         assertEquals(mFleet.runs("k-called"), 1);
     }
 
-    // A paused host is declared dead and its backend servers get other owners. When it goes on, it
-    // finds out that it was called dead and says that it lives; all see all alive, and every host
-    // serves again.
+    // A paused host is declared dead and its backend servers get other owners. After it resumes, it
+    // learns that it was declared dead and refutes that; all hosts see each other alive, and every
+    // host serves again.
     @Test
-    public void hostCalledDeadRefutesWhenItGoesOn() {
+    public void hostDeclaredDeadRejoinsAfterPause() {
         assertTrue(owners("h2").anyMatch("h1"::equals), "h1 owns a backend server");
         mFleet.process("h1").pause();
         awaitDead();
-        Await.until("others own all", () -> owners("h2").noneMatch("h1"::equals));
+        Await.until(
+                "other hosts own all backend servers", () -> owners("h2").noneMatch("h1"::equals));
 
         mFleet.process("h1").goOn();
 
@@ -135,20 +136,20 @@
 
     private void awaitDead() {
         Await.until(
-                "h1 is called dead",
+                "h1 is declared dead",
                 () -> Stream.of("h2", "h3").allMatch(host -> stateOfFirst(host).equals("DEAD")));
     }
 
-    private String stateOfFirst(String seenBy) {
-        return members(mFleet.operator(seenBy).status().path("hosts"))
+    private String stateOfFirst(String observer) {
+        return members(mFleet.operator(observer).status().path("hosts"))
                 .filter(host -> host.path("host").asText().equals("h1"))
                 .map(host -> host.path("state").asText())
                 .findFirst()
                 .orElse("");
     }
 
-    private Stream<String> owners(String seenBy) {
-        return members(mFleet.operator(seenBy).status().path("backends"))
+    private Stream<String> owners(String observer) {
+        return members(mFleet.operator(observer).status().path("backends"))
                 .map(backend -> backend.path("owner").asText());
     }
 
@@ -156,13 +157,13 @@
         return StreamSupport.stream(array.spliterator(), false);
     }
 
-    /** A later booking of another key is through first, so that no call is still on its way. */
+    /** Waits for a later booking of another key first, so that no call is still in flight. */
     @SafeVarargs
     private void awaitTrueAnswers(
             String key,
             CompletableFuture<HttpResponse<String>> first,
             HttpResponse<String>... resends) {
-        List<HttpResponse<String>> answers =
+        List<HttpResponse<String>> responses =
                 Stream.concat(Stream.of(first.join()), Stream.of(resends)).toList();
         Await.until(
                 "h1 books again",
@@ -170,10 +171,10 @@
 
         int runs = mFleet.runs(key);
         assertTrue(runs <= 1, key + " ran " + runs + " times");
-        for (HttpResponse<String> answer : answers) {
-            boolean saidNotRun = answer.body().contains("\"not-run\"");
-            assertFalse(saidNotRun && runs > 0, answer.body());
-            assertTrue(answer.statusCode() != 200 || runs == 1, answer.body());
+        for (HttpResponse<String> response : responses) {
+            boolean reportedNotRun = response.body().contains("\"not-run\"");
+            assertFalse(reportedNotRun && runs > 0, response.body());
+            assertTrue(response.statusCode() != 200 || runs == 1, response.body());
         }
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
@@ -16,7 +16,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Planned stops cut off nothing, and a leaving backend server gets no new work. */
+/**
+ * Tests that planned stops cut off no response, and that a leaving backend server gets no new work.
+ */
 public class PlannedStopTest {
 
     private static final int TOKENS = 100;
@@ -34,11 +36,11 @@
         mFleet.close();
     }
 
-    // A host is told to stop, twice, while it streams an answer. Readiness turns first; the answer
-    // goes on to its end; only then does the host leave.
+    // A host is stopped twice while it streams a response. Readiness changes first; the response
+    // continues to its end; only then does the host leave.
     @Test
     public void hostFinishesAnswersBeforeItLeaves() {
-        CompletableFuture<HttpResponse<String>> answer =
+        CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeLater(PROMPT, TOKENS);
         Await.until("an engine is busy", () -> mFleet.heldPieces() > 0);
 
@@ -46,7 +48,7 @@
         mFleet.host("h1").stop();
 
         assertFalse(mFleet.caller("h1").ready());
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(response.join().body()), AnswerText.whole(PROMPT, TOKENS));
         stopped.join();
         assertEquals(mFleet.host("h1").stage(), StopStage.STOPPED);
         assertEquals(
@@ -54,19 +56,21 @@
                 AnswerText.whole(PROMPT, 5));
     }
 
-    // An operator drains a decode server that streams an answer. The answer goes on to its end,
-    // and every request that comes after the change runs on the other server.
+    // An operator drains a decode engine that streams a response. The response continues to its
+    // end, and every request that arrives after the change runs on the other engine.
     @Test
     public void drainingServerFinishesAndGetsNothingNew() {
-        CompletableFuture<HttpResponse<String>> answer =
+        CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeLater(PROMPT, TOKENS);
         Await.until("a decode engine is busy", () -> busy(1) || busy(2));
         int leaving = busy(1) ? 1 : 2;
 
         mFleet.operator("h1").drain("d" + leaving);
-        Await.until("both hosts know", () -> leavingOn("h1", leaving) && leavingOn("h2", leaving));
+        Await.until(
+                "both hosts see the drain",
+                () -> leavingOn("h1", leaving) && leavingOn("h2", leaving));
 
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(response.join().body()), AnswerText.whole(PROMPT, TOKENS));
         long before = mFleet.decode(leaving).counts().attempts();
         for (int i = 0; i < 6; i++) {
             String host = i % 2 == 0 ? "h1" : "h2";
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
@@ -15,7 +15,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The network between one entry host and the platform breaks without closing a connection. */
+/**
+ * Tests a network between one entry host and the platform that breaks without closing connections.
+ */
 public class PlatformCutTest {
 
     private static final int ROUNDS = 5;
@@ -41,11 +43,11 @@
         mRelay.close();
     }
 
-    // All connections to the platform, open and new, go silent for good. The host serves by its
-    // last configuration, refuses bookings as not run, and runs none. When new connections pass
-    // again it books by itself, with nobody's help.
+    // All connections to the platform, open and new, go silent permanently. The host serves with
+    // its last configuration, refuses bookings as not run, and runs none. When new connections work
+    // again it books without intervention.
     @Test
-    public void cutHostServesRefusesBookingsAndComesBack() {
+    public void hostWithoutPlatformRefusesBookingsUntilReconnected() {
         mRelay.cut();
 
         for (int i = 0; i < ROUNDS; i++) {
@@ -64,11 +66,11 @@
         assertEquals(mFleet.runs("k-healed"), 1);
     }
 
-    // A claim reaches the platform, but its answer and all that follow never come. The host can't
-    // know, so it must not send the call; the key runs once at the most, whoever resends it, and a
-    // key that ran is never called "not run".
+    // A claim reaches the platform, but its response and all later ones never arrive. The host
+    // cannot know the outcome, so it must not send the call; the key runs at most once, wherever it
+    // is resent, and a key that ran is never reported as "not run".
     @Test
-    public void claimWhoseAnswerNeverComesRunsOnceAtMost() {
+    public void claimWithLostResponseRunsAtMostOnce() {
         long before = mFleet.platform().revision();
         mRelay.holdAnswersToWrites();
 
@@ -86,8 +88,9 @@
         assertTrueOutcome(mFleet.caller("h2").book("k-held", "3"), "k-held");
     }
 
-    // While one host is cut off, an operator drains a backend server through another. The host that
-    // is cut off hears of it from its peer, or at the latest when the network heals.
+    // While one host is disconnected from the platform, an operator drains a backend server through
+    // another. The disconnected host learns of it from its peer, or at the latest when the network
+    // recovers.
     @Test
     public void cutHostLearnsChangesMadeElsewhere() {
         mRelay.cut();
@@ -96,26 +99,26 @@
 
         assertServes(PROMPT);
         mRelay.heal();
-        Await.until("h1 knows", () -> leaving(mFleet.operator("h1")));
+        Await.until("h1 sees the drain", () -> leaving(mFleet.operator("h1")));
     }
 
     private void assertServes(String prompt) {
-        HttpResponse<String> answer = mFleet.caller("h1").complete(prompt, 3, true);
-        assertEquals(answer.statusCode(), 200, answer.body());
-        assertEquals(Caller.text(answer.body()), AnswerText.whole(prompt, 3));
+        HttpResponse<String> response = mFleet.caller("h1").complete(prompt, 3, true);
+        assertEquals(response.statusCode(), 200, response.body());
+        assertEquals(Caller.text(response.body()), AnswerText.whole(prompt, 3));
     }
 
-    private void assertTrueOutcome(HttpResponse<String> answer, String key) {
+    private void assertTrueOutcome(HttpResponse<String> response, String key) {
         int runs = mFleet.runs(key);
-        boolean done = answer.statusCode() == 200;
-        boolean notRun = !done && outcome(answer).equals("not-run");
+        boolean done = response.statusCode() == 200;
+        boolean notRun = !done && outcome(response).equals("not-run");
         int most = notRun ? 0 : 1;
         int least = done ? 1 : 0;
-        assertEquals(Math.max(least, Math.min(most, runs)), runs, runs + ": " + answer.body());
+        assertEquals(Math.max(least, Math.min(most, runs)), runs, runs + ": " + response.body());
     }
 
-    private String outcome(HttpResponse<String> answer) {
-        return mFleet.caller("h1").problem(answer).path("outcome").asText();
+    private String outcome(HttpResponse<String> response) {
+        return mFleet.caller("h1").problem(response).path("outcome").asText();
     }
 
     private static boolean leaving(Operator operator) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Two operators change one backend server at the same moment through two hosts. */
+/** Tests concurrent changes of one backend server by two operators through two hosts. */
 public class RacingEditsTest {
 
     private static final String BACKEND = "d1";
@@ -36,36 +36,36 @@
         mFleet.close();
     }
 
-    // Both edits name the version that both operators saw. One is made; the other is refused with
-    // the winner's spec and change id, and both hosts show the winner's.
+    // Both edits name the version that both operators read. One is applied; the other is refused
+    // with the winner's spec and change id, and both hosts show the winner's.
     @Test
-    public void raceOfEditsHasOneWinnerAndToldLoser() {
-        JsonNode seen = mFleet.operator("h1").show("backend", BACKEND);
+    public void concurrentEditsReportWinnerToLoser() {
+        JsonNode base = mFleet.operator("h1").show("backend", BACKEND);
 
         CompletableFuture<HttpResponse<String>> first =
-                later(() -> edit("h1", seen, 7, "change-1"));
+                later(() -> edit("h1", base, 7, "change-1"));
         CompletableFuture<HttpResponse<String>> second =
-                later(() -> edit("h2", seen, 9, "change-2"));
-        List<HttpResponse<String>> answers =
+                later(() -> edit("h2", base, 9, "change-2"));
+        List<HttpResponse<String>> responses =
                 Stream.of(first.join(), second.join())
                         .sorted(Comparator.comparing(HttpResponse::statusCode))
                         .toList();
 
-        assertEquals(answers.get(0).statusCode(), 200, answers.get(0).body());
-        assertEquals(answers.get(1).statusCode(), 409, answers.get(1).body());
-        JsonNode won = json(answers.get(0));
-        JsonNode told = json(answers.get(1)).path("winner");
-        assertEquals(told, won);
+        assertEquals(responses.get(0).statusCode(), 200, responses.get(0).body());
+        assertEquals(responses.get(1).statusCode(), 409, responses.get(1).body());
+        JsonNode won = json(responses.get(0));
+        JsonNode reported = json(responses.get(1)).path("winner");
+        assertEquals(reported, won);
         assertEquals(
                 won.path("spec").path("slots").asInt(),
                 (int) Map.of("change-1", 7, "change-2", 9).get(won.path("changeId").asText()));
         awaitShown(won);
     }
 
-    // Both operators drain the server. One drain is made; the other finds the server leaving
-    // already, which is what its operator wished, and is told the change that did it.
+    // Both operators drain the server. One drain is applied; the other finds the server already
+    // leaving, as its operator requested, and returns the change that did it.
     @Test
-    public void raceOfDrainsIsOneChangeThatBothAreTold() {
+    public void concurrentDrainsMakeOneChange() {
         long before = mFleet.platform().revision();
 
         CompletableFuture<HttpResponse<String>> first = later(() -> drain("h1", "drain-1"));
@@ -89,15 +89,15 @@
         }
     }
 
-    private HttpResponse<String> edit(String host, JsonNode seen, int slots, String change) {
-        String spec = ((ObjectNode) seen.path("spec").deepCopy()).put("slots", slots).toString();
+    private HttpResponse<String> edit(String host, JsonNode base, int slots, String change) {
+        String spec = ((ObjectNode) base.path("spec").deepCopy()).put("slots", slots).toString();
         return mFleet.operator(host)
                 .put(
                         "backend",
                         BACKEND,
                         spec,
                         "If-Match",
-                        seen.path("version").asText(),
+                        base.path("version").asText(),
                         "X-Change-Id",
                         change);
     }
@@ -112,8 +112,8 @@
                         change);
     }
 
-    private JsonNode json(HttpResponse<String> answer) {
-        return mFleet.caller("h1").problem(answer);
+    private JsonNode json(HttpResponse<String> response) {
+        return mFleet.caller("h1").problem(response);
     }
 
     private static CompletableFuture<HttpResponse<String>> later(
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A request served end to end over real sockets, and what must not be served. */
+/** Tests requests served end to end over real sockets, and requests that must be refused. */
 public class WholePathTest {
 
     private static final String PROMPT = "Mandi circular 14: lots of malting barley from Mehsana";
@@ -36,24 +36,24 @@
     }
 
     @Test
-    public void streamsWholeAnswerFromEachHost() {
+    public void streamsCompleteResponseFromEachHost() {
         for (String host : new String[] {"h1", "h2"}) {
-            HttpResponse<String> answer = mFleet.caller(host).complete(PROMPT, 12, true);
+            HttpResponse<String> response = mFleet.caller(host).complete(PROMPT, 12, true);
 
-            assertEquals(answer.statusCode(), 200, answer.body());
-            assertEquals(Caller.text(answer.body()), AnswerText.whole(PROMPT, 12));
+            assertEquals(response.statusCode(), 200, response.body());
+            assertEquals(Caller.text(response.body()), AnswerText.whole(PROMPT, 12));
         }
-        Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
+        Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
     @Test
-    public void answersInOnePiece() {
+    public void answersWithoutStreaming() {
         Caller caller = mFleet.caller("h1");
 
-        HttpResponse<String> answer = caller.complete(PROMPT, 5, false);
+        HttpResponse<String> response = caller.complete(PROMPT, 5, false);
 
         assertEquals(
-                caller.problem(answer).path("choices").path(0).path("text").asText(),
+                caller.problem(response).path("choices").path(0).path("text").asText(),
                 AnswerText.whole(PROMPT, 5));
     }
 
@@ -69,14 +69,14 @@
 
     @Test
     public void repeatableCallNeedsNoKey() {
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 mFleet.caller("h2").send("GET", "/v1/services/" + TestFleet.BOOKING + "/stock", "");
 
-        assertEquals(answer.statusCode(), 200, answer.body());
+        assertEquals(response.statusCode(), 200, response.body());
     }
 
     @Test
-    public void namesWhatIsWrong() {
+    public void rejectsInvalidRequestsWithReason() {
         refused("this is no JSON", 400, "bad-body");
         refused("{\"model\": 7}", 400, "bad-body");
         refused("{\"model\": \"no-such\", \"prompt\": \"x\"}", 404, "unknown-service");
@@ -89,20 +89,20 @@
     public void bookingWithoutKeyDoesNotRun() {
         long before = mFleet.plain(1).bookings() + mFleet.plain(2).bookings();
 
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 mFleet.caller("h1")
                         .send("POST", "/v1/services/" + TestFleet.BOOKING + "/book", "{}");
 
-        assertEquals(answer.statusCode(), 400, answer.body());
+        assertEquals(response.statusCode(), 400, response.body());
         assertEquals(mFleet.plain(1).bookings() + mFleet.plain(2).bookings(), before);
     }
 
     private void refused(String body, int status, String reason) {
         Caller caller = mFleet.caller("h1");
 
-        HttpResponse<String> answer = caller.complete(body);
+        HttpResponse<String> response = caller.complete(body);
 
-        assertEquals(answer.statusCode(), status, answer.body());
-        assertEquals(caller.problem(answer).path("reason").asText(), reason);
+        assertEquals(response.statusCode(), status, response.body());
+        assertEquals(caller.problem(response).path("reason").asText(), reason);
     }
 }
