--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
@@ -30,7 +30,7 @@
     /**
      * Creates a canceller.
      *
-     * @param clients engines
+     * @param clients engine clients
      * @param blackboard provides the declared backend servers
      * @param workers timers
      * @param metrics counts retried cancels
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
@@ -47,7 +47,7 @@
      * Creates the monitor.
      *
      * @param ledgers which engines this host owns
-     * @param clients engines
+     * @param clients engine clients
      * @param membership knows which incarnations of hosts have ended
      * @param blackboard tables of this host
      * @param listener receives the number of running attempts of each engine
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
@@ -42,7 +42,7 @@
      * Creates the monitor.
      *
      * @param blackboard provides the engines with the prefill role
-     * @param clients engines
+     * @param clients engine clients
      * @param workers worker pool
      * @param domain this host's failure domain
      */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -43,7 +43,7 @@
  * Performs the effects of {@link ConfigurationSync}, and publishes the applied configuration on the
  * blackboard.
  *
- * <p>All its events pass through one serial executor; readers see only the blackboard.
+ * <p>All its events pass through one serial executor; readers access only the blackboard.
  */
 public final class ConfigurationDriver {
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionStep.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/DecisionStep.java
@@ -14,7 +14,7 @@
     GRANT_ASKED,
     /** The owner responded to a grant request. */
     GRANT_ANSWERED,
-    /** Prefill began. */
+    /** Prefill started. */
     PREFILL_STARTED,
     /** Prefill ended, successfully or not. */
     PREFILL_ENDED,
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -46,8 +46,8 @@
      * Creates the driver.
      *
      * @param membership the state machine; from now on accessed only through this driver
-     * @param settings its timings
-     * @param transport messages and new connections to peers
+     * @param settings timings of membership
+     * @param transport sends messages to peers and probes them over new connections
      * @param workers worker pool
      * @param clock time in milliseconds
      * @param log events
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
@@ -13,7 +13,7 @@
     private final EventLog mLog;
 
     /**
-     * Creates the counters.
+     * Creates an instance.
      *
      * @param metrics counts peer traffic
      * @param log logs rejected frames
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -57,7 +57,7 @@
      *
      * @param self this host's incarnation, part of every attempt id
      * @param domain this host's failure domain
-     * @param blackboard its tables
+     * @param blackboard tables of this host
      * @param policies policy, admission, budget and hints
      * @param failureListener notified of failed backend servers
      * @param random source of random numbers, guarded by its own monitor
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
@@ -70,7 +70,7 @@
 
     abstract void inject(TestFleet fleet, UniformRandomProvider random);
 
-    /** Ends every fault that would not end by itself. */
+    /** Ends every fault that does not end by itself. */
     static void endAll(TestFleet fleet) {
         fleet.platform().outage(Outage.NONE);
         fleet.platform().loseAnswers(0);
