--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.relay.backend;
 
-import org.cyclamenpaddle.routing.memory.NewWork;
+import org.cyclamenpaddle.routing.memory.NewGeneration;
 
 /**
  * Size of one request's work on an engine.
@@ -26,7 +26,7 @@
     }
 
     /** Returns it as a generation that begins. */
-    public NewWork asNewWork() {
-        return new NewWork(promptTokens, outputTokens);
+    public NewGeneration asNewWork() {
+        return new NewGeneration(promptTokens, outputTokens);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.relay.backend.TimedReport;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.routing.reservation.ReservationWait;
 
 /**
@@ -58,19 +58,19 @@
 
     private OptionalLong besideNow(Backend engine, ReservationWait wait) {
         long now = mRelay.clock().millis();
-        EngineShape shape = mRequest.engine().orElseThrow();
+        EngineProfile shape = mRequest.engine().orElseThrow();
         WorkSize size = mRequest.caller().size();
         TimedReport none = new TimedReport(new EngineReport(0, false, List.of()), now);
         TimedReport report = mRelay.board().report(engine, now).orElse(none);
         OptionalLong room =
                 mRelay.demand()
-                        .room(
+                        .requiredFreeTokens(
                                 mRequest.service(),
                                 shape,
-                                report.report().work(shape.eventTokens()),
+                                report.report().runningWork(shape.tokensPerEvent()),
                                 report.ageMillis(now) + BORN_OLD_MILLIS,
                                 size);
-        long left = wait.tokensLeft(now, size.memoryTokens(), usualTokens());
+        long left = wait.headroomTokens(now, size.memoryTokens(), usualTokens());
         return room.isPresent() ? OptionalLong.of(room.getAsLong() + left) : room;
     }
 
@@ -84,7 +84,7 @@
         mRelay.connections()
                 .keptClient(engine.address(), engine.port())
                 .execute(
-                        HttpRequest.of(mRelay.engines().report(engine)),
+                        HttpRequest.of(mRelay.engineMessages().report(engine)),
                         RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
                 .aggregate()
                 .whenCompleteAsync(
@@ -98,10 +98,9 @@
     private void take(Backend engine, AggregatedHttpResponse answer, Throwable failure) {
         Either<String, EngineReport> report =
                 failure == null
-                        ? mRelay.engines().report(answer)
+                        ? mRelay.engineMessages().report(answer)
                         : Either.left(String.valueOf(failure));
-        report.peek(told -> mRelay.board().reported(engine, told, mRelay.clock().millis()))
-                .peekLeft(
-                        cause -> mRelay.log().log(RelayEvent.REPORT_NOT_READ, engine.id(), cause));
+        report.peek(told -> mRelay.board().recordReport(engine, told, mRelay.clock().millis()))
+                .peekLeft(cause -> mRelay.log().log(RelayEvent.REPORT_FAILED, engine.id(), cause));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.engine.http.BackendConnections;
-import org.cyclamenpaddle.relay.backend.BackendBoard;
+import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.metric.RelayMetrics;
 import org.cyclamenpaddle.relay.role.DemandMeter;
@@ -18,23 +18,23 @@
  * @param board backend servers
  * @param budget repeats
  * @param demand of generations
- * @param callers how long callers wait, by route
+ * @param returningClients how long callers wait, by route
  * @param connections to backend servers
- * @param messages how callers' requests are sent on
- * @param engines how engines are spoken to about their memory
+ * @param backendMessages how callers' requests are sent on
+ * @param engineMessages how engines are spoken to about their memory
  * @param log decision lines
  * @param metrics counters
  * @param clock this host's clock
  * @param random even draws from 0 to 1
  */
 public record RelayContext(
-        BackendBoard board,
+        BackendRegistry board,
         SharedRetryBudget budget,
         DemandMeter demand,
-        Table<ReturningClients> callers,
+        Table<ReturningClients> returningClients,
         BackendConnections connections,
-        BackendMessages messages,
-        EngineMessages engines,
+        BackendMessages backendMessages,
+        EngineMessages engineMessages,
         DecisionLog log,
         RelayMetrics metrics,
         Clock clock,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
@@ -9,11 +9,11 @@
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.relay.backend.WorkSize;
-import org.cyclamenpaddle.relay.route.EngineShape;
-import org.cyclamenpaddle.routing.memory.EngineWork;
+import org.cyclamenpaddle.relay.route.EngineProfile;
+import org.cyclamenpaddle.routing.memory.EngineGenerations;
 import org.cyclamenpaddle.routing.memory.MemoryForecast;
 import org.cyclamenpaddle.routing.memory.OutputLengths;
-import org.cyclamenpaddle.routing.memory.RunningWork;
+import org.cyclamenpaddle.routing.memory.RunningGeneration;
 
 /** What each service's generations ask of engines, as this host has seen them; thread-safe. */
 public final class DemandMeter {
@@ -48,8 +48,8 @@
             new Table<>(TableOrder.DEMAND, new HashMap<>());
 
     /** Takes in a generation that has arrived. */
-    public void begun(ServiceName service, WorkSize size) {
-        mSeen.write(seen -> of(seen, service).mLengths.begun(size.asNewWork()));
+    public void recordStart(ServiceName service, WorkSize size) {
+        mSeen.write(seen -> of(seen, service).mLengths.started(size.asNewWork()));
     }
 
     /**
@@ -59,7 +59,7 @@
      * @param size what was known of it at its arrival
      * @param demand what it has asked for
      */
-    public void ended(ServiceName service, WorkSize size, Demand demand) {
+    public void recordEnd(ServiceName service, WorkSize size, Demand demand) {
         mSeen.write(
                 seen -> {
                     Seen known = of(seen, service);
@@ -79,7 +79,7 @@
 
     /**
      * Returns the tokens that must be free at an engine beside a new generation's place; see {@link
-     * MemoryForecast#room}.
+     * MemoryForecast#requiredFreeTokens}.
      *
      * @param service the service
      * @param shape of its engines
@@ -87,18 +87,19 @@
      * @param reportMillis age of the report
      * @param size the new generation
      */
-    public OptionalLong room(
+    public OptionalLong requiredFreeTokens(
             ServiceName service,
-            EngineShape shape,
-            List<RunningWork> runs,
+            EngineProfile shape,
+            List<RunningGeneration> runs,
             long reportMillis,
             WorkSize size) {
         return mSeen.read(
                 seen -> {
                     Seen known = of(seen, service);
-                    long since = Math.round(known.mMean.pace() * reportMillis);
-                    return known.mOutlook.room(
-                            new EngineWork(shape.memoryTokens(), runs, since), size.asNewWork());
+                    long since = Math.round(known.mMean.tokensPerMilli() * reportMillis);
+                    return known.mOutlook.requiredFreeTokens(
+                            new EngineGenerations(shape.memoryTokens(), runs, since),
+                            size.asNewWork());
                 });
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.routing.reservation.CallerTerms;
+import org.cyclamenpaddle.routing.reservation.CallerLimits;
 
 /**
  * Where requests of one host name and path prefix go, and how they may be treated.
@@ -50,8 +50,8 @@
     }
 
     /** Returns what callers accept. */
-    public CallerTerms terms() {
-        return new CallerTerms(targetMillis, silenceMillis);
+    public CallerLimits terms() {
+        return new CallerLimits(targetMillis, silenceMillis);
     }
 
     /** Returns whether a request may be sent again after it may have run. */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
@@ -34,13 +34,13 @@
         return new QuarantineSettings(
                 defaults.strikesToQuarantine(),
                 mSettings.limits().quarantineMillis(),
-                defaults.mostFingerprints());
+                defaults.maxFingerprints());
     }
 
     RetryBudget.Settings retries() {
         RetryBudget.Settings defaults = RetryBudget.Settings.DEFAULTS;
         return new RetryBudget.Settings(
-                mSettings.limits().retryShare(), defaults.floorPerSecond(), defaults.most());
+                mSettings.limits().retryShare(), defaults.minPerSecond(), defaults.capacity());
     }
 
     RequestSettings requests() {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
@@ -50,7 +50,7 @@
         List<StrikeNotice> notices =
                 mBlackboard
                         .quarantine()
-                        .read(table -> table.onBackendDied(backend, List.of(fingerprint), now));
+                        .read(table -> table.onBackendCrashed(backend, List.of(fingerprint), now));
         notices.forEach(this::broadcast);
         notices.forEach(notice -> logStrike(notice, backend));
     }
@@ -67,7 +67,7 @@
                 LogEvent.QUARANTINE_STRIKE,
                 Long.toHexString(notice.fingerprint()),
                 backend,
-                notice.struck().size());
+                notice.crashedBackends().size());
         mBlackboard
                 .quarantine()
                 .read(table -> table.quarantinedMillis(notice.fingerprint(), mClock.millis()))
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
@@ -96,7 +96,7 @@
         synchronized (mIndex) {
             // A lower sequence number means that the engine has restarted with an empty cache.
             if (last != null && events.lastSequence() < last) {
-                mIndex.forget(engine);
+                mIndex.remove(engine);
             }
             mIndex.apply(engine, toIndexEvents(events), events.lastSequence());
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
@@ -8,13 +8,13 @@
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 
 /** Attempts on backend servers and grant requests of this host's requests. */
 public final class RequestTable {
 
     private final Map<AttemptId, BackendId> mRunning = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mRequestedGrants = new HashMap<>();
+    private final Map<AttemptId, GrantRequest> mRequestedGrants = new HashMap<>();
     private int mInFlight;
 
     /** Counts a caller's request that started ({@code 1}) or ended ({@code -1}). */
@@ -40,7 +40,7 @@
     }
 
     /** Records a grant request. */
-    public void grantRequested(GrantAsk request) {
+    public void grantRequested(GrantRequest request) {
         mRequestedGrants.put(request.attempt(), request);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Returns the grant requests for a backend server, to register them with a new owner. */
-    public List<GrantAsk> grantsRequestedOn(BackendId backend) {
+    public List<GrantRequest> grantsRequestedOn(BackendId backend) {
         return mRequestedGrants.values().stream()
                 .filter(request -> request.backend().equals(backend))
                 .collect(Collectors.toList());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -9,8 +9,8 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 import org.cyclamenpaddle.engine.plain.PlainRequest;
@@ -42,7 +42,7 @@
     interface LocalClaims {
 
         /** Returns the claim state of the key, ignoring the querying attempt. */
-        ClaimAnswer lookUp(ClaimAsk query, Optional<AttemptId> querying);
+        ClaimResponse lookUp(ClaimRequest query, Optional<AttemptId> querying);
     }
 
     BookingRun(
@@ -92,10 +92,10 @@
             mServices.claims().writeClaim(write.claim(), verdict -> feed(verdict.event()));
         } else if (effect instanceof BookingEffect.Dispatch dispatch) {
             dispatch(dispatch);
-        } else if (effect instanceof BookingEffect.AskClaimer query) {
+        } else if (effect instanceof BookingEffect.QueryClaimHolder query) {
             queryHolder(query);
-        } else if (effect instanceof BookingEffect.AskPeers query) {
-            queryPeers(query.ask());
+        } else if (effect instanceof BookingEffect.QueryPeers query) {
+            queryPeers(query.request());
         } else if (effect instanceof BookingEffect.RecordOutcome outcome) {
             mServices.claims().writeOutcome(outcome.claim(), outcome.outcome());
         } else if (effect instanceof BookingEffect.WakeAt wake) {
@@ -149,7 +149,7 @@
             record(DecisionStep.CALL_SENT, backend.id() + ": status " + answered.status());
             handle(
                     new BookingEvent.ResponseComplete(
-                            new ClaimAnswer.KeptAnswer(
+                            new ClaimResponse.StoredResponse(
                                     answered.status(),
                                     answered.contentType(),
                                     Bookings.text(answered.body()))));
@@ -165,37 +165,39 @@
         }
     }
 
-    private void queryHolder(BookingEffect.AskClaimer query) {
+    private void queryHolder(BookingEffect.QueryClaimHolder query) {
         record(DecisionStep.CLAIM, "query " + query.holder());
         if (query.holder().equals(mServices.self())) {
-            handle(new BookingEvent.ClaimerAnswered(lookUpLocally(query.ask())));
+            handle(new BookingEvent.ClaimHolderResponded(lookUpLocally(query.request())));
             return;
         }
         mServices
                 .claimHolders()
-                .query(query.holder(), query.ask())
+                .query(query.holder(), query.request())
                 .thenAccept(
                         found ->
                                 feed(
-                                        found.<BookingEvent>map(BookingEvent.ClaimerAnswered::new)
-                                                .orElseGet(BookingEvent.ClaimerUnreachable::new)));
+                                        found.<BookingEvent>map(
+                                                        BookingEvent.ClaimHolderResponded::new)
+                                                .orElseGet(
+                                                        BookingEvent.ClaimHolderUnreachable::new)));
     }
 
-    private void queryPeers(ClaimAsk query) {
+    private void queryPeers(ClaimRequest query) {
         record(DecisionStep.CLAIM, "platform unreachable, query all hosts");
-        ClaimAnswer local = lookUpLocally(query);
+        ClaimResponse local = lookUpLocally(query);
         mServices
                 .claimHolders()
                 .queryAll(query)
                 .thenAccept(
                         peerStates -> {
-                            List<ClaimAnswer.State> states = new ArrayList<>(peerStates.states());
+                            List<ClaimResponse.State> states = new ArrayList<>(peerStates.states());
                             states.add(local.state());
-                            feed(new BookingEvent.PeersAnswered(states, peerStates.complete()));
+                            feed(new BookingEvent.PeersResponded(states, peerStates.complete()));
                         });
     }
 
-    private ClaimAnswer lookUpLocally(ClaimAsk query) {
+    private ClaimResponse lookUpLocally(ClaimRequest query) {
         return mLocalClaims.lookUp(query, Optional.of(mMachine.claim().attempt()));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
@@ -8,8 +8,8 @@
 import org.cyclamenpaddle.core.config.ServiceSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.RequestId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.fleet.claim.BookingMachine;
 import org.cyclamenpaddle.fleet.claim.BookingReply;
@@ -88,7 +88,7 @@
     }
 
     /** Responds to a peer that found a claim of this host, or that cannot read claims. */
-    public CompletableFuture<PeerMessage> onClaimRequest(ClaimAsk request) {
+    public CompletableFuture<PeerMessage> onClaimRequest(ClaimRequest request) {
         CompletableFuture<PeerMessage> response = new CompletableFuture<>();
         mSerial.execute(() -> response.complete(lookUp(request, Optional.empty())));
         return response;
@@ -116,8 +116,8 @@
                 mServices.epochMillis().getAsLong());
     }
 
-    private ClaimAnswer lookUp(ClaimAsk request, Optional<AttemptId> querying) {
-        return mTable.answer(
+    private ClaimResponse lookUp(ClaimRequest request, Optional<AttemptId> querying) {
+        return mTable.claimResponse(
                 new ClaimKey(request.service(), request.key()),
                 querying,
                 mServices.claimHolders().hostLostWithin(mRetentionMillis),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.router.grant.PeerLink;
@@ -41,7 +41,8 @@
     }
 
     @Override
-    public CompletableFuture<Optional<ClaimAnswer>> query(Incarnation holder, ClaimAsk query) {
+    public CompletableFuture<Optional<ClaimResponse>> query(
+            Incarnation holder, ClaimRequest query) {
         Optional<HostRecord> host =
                 mMembership
                         .record(holder.host())
@@ -52,7 +53,7 @@
     }
 
     @Override
-    public CompletableFuture<PeerStates> queryAll(ClaimAsk query) {
+    public CompletableFuture<PeerStates> queryAll(ClaimRequest query) {
         Incarnation self = mMembership.self().incarnation();
         List<HostRecord> others =
                 mMembership.hosts().stream()
@@ -65,7 +66,7 @@
         if (incomplete) {
             return CompletableFuture.completedFuture(new PeerStates(List.of(), false));
         }
-        List<CompletableFuture<Optional<ClaimAnswer>>> queries =
+        List<CompletableFuture<Optional<ClaimResponse>>> queries =
                 others.stream().map(host -> query(host, query)).collect(Collectors.toList());
         return CompletableFuture.allOf(queries.toArray(CompletableFuture[]::new))
                 .thenApply(done -> collectStates(queries));
@@ -76,23 +77,23 @@
         return mMembership.hostLostWithin(spanMillis);
     }
 
-    private PeerStates collectStates(List<CompletableFuture<Optional<ClaimAnswer>>> queries) {
-        List<ClaimAnswer.State> states =
+    private PeerStates collectStates(List<CompletableFuture<Optional<ClaimResponse>>> queries) {
+        List<ClaimResponse.State> states =
                 queries.stream()
                         .flatMap(response -> response.join().stream())
-                        .map(ClaimAnswer::state)
+                        .map(ClaimResponse::state)
                         .collect(Collectors.toList());
         // Checked after the responses: a host lost meanwhile may have held the claim.
         boolean complete = states.size() == queries.size() && !hostLostWithin(mRetentionMillis);
         return new PeerStates(states, complete);
     }
 
-    private CompletableFuture<Optional<ClaimAnswer>> query(HostRecord host, ClaimAsk query) {
+    private CompletableFuture<Optional<ClaimResponse>> query(HostRecord host, ClaimRequest query) {
         return mPeers.request(host, query, QUERY_TIMEOUT_MILLIS)
                 .thenApply(
                         response ->
                                 response.toJavaOptional()
-                                        .filter(ClaimAnswer.class::isInstance)
-                                        .map(ClaimAnswer.class::cast));
+                                        .filter(ClaimResponse.class::isInstance)
+                                        .map(ClaimResponse.class::cast));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -82,7 +82,7 @@
     /** Starts a call; the future never completes exceptionally. */
     public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(RepeatableCall call) {
         synchronized (mBudget) {
-            mBudget.freshRequest(call.service().name(), mClock.millis());
+            mBudget.recordRequest(call.service().name(), mClock.millis());
         }
         mInFlight.incrementAndGet();
         return attempt(call, mClock.millis() + call.call().timeoutMillis(), new HashSet<>())
@@ -143,7 +143,7 @@
 
     private boolean takeRetry(RepeatableCall call) {
         synchronized (mBudget) {
-            return mBudget.tryTake(call.service().name(), mClock.millis());
+            return mBudget.tryAcquire(call.service().name(), mClock.millis());
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -15,8 +15,8 @@
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.config.ObjectKind;
 import org.cyclamenpaddle.core.id.PresetName;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.core.time.Clock;
@@ -120,7 +120,8 @@
 
     /** Requests the configuration from a host that is not yet known as a member. */
     public void requestAtStart(HostRecord peer) {
-        mSerial.execute(() -> requestFromPeer(peer, new ConfigurationAsk(mReplica.known())));
+        mSerial.execute(
+                () -> requestFromPeer(peer, new ConfigurationRequest(mReplica.knownVersions())));
     }
 
     /** Handles the digest in a peer's heartbeat. */
@@ -135,22 +136,22 @@
     }
 
     /** Responds to a peer's request. */
-    public CompletableFuture<Optional<PeerMessage>> onPeerRequest(ConfigurationAsk request) {
+    public CompletableFuture<Optional<PeerMessage>> onPeerRequest(ConfigurationRequest request) {
         CompletableFuture<Optional<PeerMessage>> response = new CompletableFuture<>();
         mSerial.execute(
                 () ->
                         response.complete(
-                                mSync.onPeerAsk(request).stream()
-                                        .filter(ConfigurationEffect.Answer.class::isInstance)
-                                        .map(ConfigurationEffect.Answer.class::cast)
-                                        .<PeerMessage>map(ConfigurationEffect.Answer::answer)
+                                mSync.onPeerRequest(request).stream()
+                                        .filter(ConfigurationEffect.Respond.class::isInstance)
+                                        .map(ConfigurationEffect.Respond.class::cast)
+                                        .<PeerMessage>map(ConfigurationEffect.Respond::response)
                                         .findFirst()));
         return response;
     }
 
     /** Handles objects that a peer pushed. */
-    public void onPeerPush(ConfigurationAnswer response) {
-        mSerial.execute(() -> perform(mSync.onPeerAnswer(response)));
+    public void onPeerPush(ConfigurationResponse response) {
+        mSerial.execute(() -> perform(mSync.onPeerResponse(response)));
     }
 
     /**
@@ -188,8 +189,8 @@
             watch(watch.afterRevision());
         } else if (effect instanceof ConfigurationEffect.StopWatch) {
             mGeneration++;
-        } else if (effect instanceof ConfigurationEffect.AskPeer request) {
-            requestFromPeer(request.peer(), request.ask());
+        } else if (effect instanceof ConfigurationEffect.QueryPeer request) {
+            requestFromPeer(request.peer(), request.request());
         } else if (effect instanceof ConfigurationEffect.Applied applied) {
             apply(applied.objects());
         }
@@ -256,16 +257,16 @@
         mBlackboard.configuration().write(cell -> cell.confirm(mClock.millis()));
     }
 
-    private void requestFromPeer(HostRecord peer, ConfigurationAsk request) {
+    private void requestFromPeer(HostRecord peer, ConfigurationRequest request) {
         mPeers.request(peer, request, PEER_REQUEST_TIMEOUT_MILLIS)
                 .thenAccept(response -> mSerial.execute(() -> onPeerResponse(response)));
     }
 
     private void onPeerResponse(Either<PeerError, PeerMessage> response) {
-        boolean usable = response.isRight() && response.get() instanceof ConfigurationAnswer;
+        boolean usable = response.isRight() && response.get() instanceof ConfigurationResponse;
         perform(
                 usable
-                        ? mSync.onPeerAnswer((ConfigurationAnswer) response.get())
+                        ? mSync.onPeerResponse((ConfigurationResponse) response.get())
                         : mSync.onPeerFailed());
         if (usable) {
             mInitialized.complete(null);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -14,11 +14,11 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.HostId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
-import org.cyclamenpaddle.core.message.GrantEnd;
 import org.cyclamenpaddle.core.message.GrantRegister;
+import org.cyclamenpaddle.core.message.GrantRelease;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.message.PeerMessage;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public CompletableFuture<GrantAnswer> request(GrantAsk request) {
+    public CompletableFuture<GrantResponse> request(GrantRequest request) {
         Optional<HostRecord> owner = spec(request.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
             return CompletableFuture.completedFuture(answer(request, GrantDecision.UNAVAILABLE));
@@ -93,7 +93,8 @@
         return mPeers.request(owner.get(), request, REQUEST_TIMEOUT_MILLIS)
                 .thenApply(
                         response ->
-                                response.isRight() && response.get() instanceof GrantAnswer granted
+                                response.isRight()
+                                                && response.get() instanceof GrantResponse granted
                                         ? granted
                                         : answer(request, GrantDecision.UNAVAILABLE));
     }
@@ -104,7 +105,7 @@
                 .flatMap(mHosts::owner)
                 .ifPresent(
                         owner -> {
-                            GrantEnd end = new GrantEnd(attempt, backend);
+                            GrantRelease end = new GrantRelease(attempt, backend);
                             if (isSelf(owner)) {
                                 onEnd(end);
                             } else {
@@ -114,7 +115,7 @@
     }
 
     /** Decides on a grant request of this host or a peer, based on this host's ledger. */
-    public GrantAnswer decide(GrantAsk request) {
+    public GrantResponse decide(GrantRequest request) {
         Optional<BackendSpec> spec = spec(request.backend());
         if (spec.isEmpty() || !mHosts.owns(spec.get())) {
             return answer(request, GrantDecision.NOT_OWNER);
@@ -128,11 +129,11 @@
                 .read(
                         ledgers ->
                                 ledger(ledgers, spec.get(), role.get())
-                                        .ask(request, mClock.millis()));
+                                        .request(request, mClock.millis()));
     }
 
     /** Releases the reservation of an attempt. */
-    public void onEnd(GrantEnd end) {
+    public void onEnd(GrantRelease end) {
         mBlackboard
                 .grants()
                 .write(
@@ -140,7 +141,7 @@
                                 ledgersOf(ledgers, end.backend())
                                         .forEach(
                                                 ledger ->
-                                                        ledger.end(
+                                                        ledger.release(
                                                                 end.attempt(), mClock.millis())));
     }
 
@@ -301,7 +302,7 @@
                                         .write(
                                                 ledgers ->
                                                         ledger(ledgers, spec, role)
-                                                                .respecify(spec)));
+                                                                .updateSpec(spec)));
     }
 
     /** Registers this host's reservations when a ledger has a new owner. */
@@ -315,7 +316,7 @@
         if (last == null || last.equals(name)) {
             return;
         }
-        List<GrantAsk> held =
+        List<GrantRequest> held =
                 mBlackboard.requests().read(table -> table.grantsRequestedOn(backend));
         if (held.isEmpty()) {
             return;
@@ -328,7 +329,7 @@
         }
     }
 
-    private void registerHeld(BackendSpec spec, GrantAsk request) {
+    private void registerHeld(BackendSpec spec, GrantRequest request) {
         role(spec.id())
                 .ifPresent(
                         role ->
@@ -386,16 +387,16 @@
         return host.incarnation().equals(mHosts.self().incarnation());
     }
 
-    private static GrantAnswer answer(GrantAsk request, GrantDecision decision) {
-        return new GrantAnswer(request.attempt(), request.backend(), decision, 0, 0);
+    private static GrantResponse answer(GrantRequest request, GrantDecision decision) {
+        return new GrantResponse(request.attempt(), request.backend(), decision, 0, 0);
     }
 
     /** Handles a peer's message about grants; returns the response if the message expects one. */
     public Optional<PeerMessage> onPeerMessage(PeerMessage message) {
-        if (message instanceof GrantAsk request) {
+        if (message instanceof GrantRequest request) {
             return Optional.of(decide(request));
         }
-        if (message instanceof GrantEnd end) {
+        if (message instanceof GrantRelease end) {
             onEnd(end);
         } else if (message instanceof GrantRegister register) {
             onRegister(register);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -11,16 +11,16 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.HostRecord;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.core.time.Clock;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.cyclamenpaddle.fleet.membership.Membership;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect;
 import org.cyclamenpaddle.fleet.membership.MembershipSettings;
 import org.cyclamenpaddle.fleet.membership.PeerDigest;
-import org.cyclamenpaddle.fleet.membership.Standing;
 import org.cyclamenpaddle.fleet.ownership.Ownership;
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
@@ -91,13 +91,13 @@
     }
 
     /** Handles a peer's request that this host probes another. */
-    public void onProbeRequest(HostRecord requester, ProbeAsk request) {
-        handle(membership -> membership.onProbeAsk(requester, request, mClock.millis()));
+    public void onProbeRequest(HostRecord requester, ProbeRequest request) {
+        handle(membership -> membership.onProbeRequest(requester, request, mClock.millis()));
     }
 
     /** Handles the result of a peer's probe. */
-    public void onProbeResponse(ProbeAnswer response) {
-        handle(membership -> membership.onProbeAnswer(response, mClock.millis()));
+    public void onProbeResponse(ProbeResponse response) {
+        handle(membership -> membership.onProbeResponse(response, mClock.millis()));
     }
 
     /** Handles hosts named by the platform's list or the settings, which are only hints. */
@@ -111,8 +111,8 @@
     }
 
     /** Returns the standing of a host's incarnation. */
-    public Standing standing(Incarnation incarnation) {
-        return mMembership.read(membership -> membership.standing(incarnation));
+    public IncarnationStatus standing(Incarnation incarnation) {
+        return mMembership.read(membership -> membership.incarnationStatus(incarnation));
     }
 
     /**
@@ -120,7 +120,8 @@
      * milliseconds.
      */
     public boolean hostLostWithin(long spanMillis) {
-        return mMembership.read(membership -> membership.lostLately(spanMillis, mClock.millis()));
+        return mMembership.read(
+                membership -> membership.hostLostWithin(spanMillis, mClock.millis()));
     }
 
     /** Returns every known host, this one included. */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMessageDispatcher.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMessageDispatcher.java
@@ -2,14 +2,14 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.cyclamenpaddle.core.message.ClaimAsk;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.message.StrikeNotice;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.peer.net.PeerListener;
@@ -61,15 +61,15 @@
             HostRecord from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             onHeartbeat(heartbeat);
-        } else if (message instanceof ProbeAsk request) {
+        } else if (message instanceof ProbeRequest request) {
             mMembership.onProbeRequest(from, request);
-        } else if (message instanceof ProbeAnswer response) {
+        } else if (message instanceof ProbeResponse response) {
             mMembership.onProbeResponse(response);
-        } else if (message instanceof ConfigurationAsk request) {
+        } else if (message instanceof ConfigurationRequest request) {
             return mConfiguration.onPeerRequest(request);
-        } else if (message instanceof ConfigurationAnswer pushed) {
+        } else if (message instanceof ConfigurationResponse pushed) {
             mConfiguration.onPeerPush(pushed);
-        } else if (message instanceof ClaimAsk request) {
+        } else if (message instanceof ClaimRequest request) {
             return mBookings.onClaimRequest(request).thenApply(Optional::of);
         } else if (message instanceof StrikeNotice notice) {
             mBlackboard.quarantine().write(table -> table.merge(notice, mClock.millis()));
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 
 /**
  * Requests and releases reservations on backend servers in the owner's ledger, on this host or a
@@ -13,7 +13,7 @@
 public interface GrantClient {
 
     /** Requests a reservation; completes with {@code UNAVAILABLE} if the owner is unreachable. */
-    CompletableFuture<GrantAnswer> request(GrantAsk request);
+    CompletableFuture<GrantResponse> request(GrantRequest request);
 
     /** Releases the reservation of an attempt; idempotent. */
     void release(AttemptId attempt, BackendId backend);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -15,13 +15,13 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.routing.admission.Admission;
-import org.cyclamenpaddle.routing.admission.GrantAsks;
+import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.placement.BackendView;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.CostFactors;
@@ -107,7 +107,7 @@
             return overLimit;
         }
         synchronized (mRetries) {
-            mRetries.freshRequest(shape.service(), now);
+            mRetries.recordRequest(shape.service(), now);
         }
         mTurns.incrementAndGet();
         if (!usesGrants()) {
@@ -145,14 +145,14 @@
     }
 
     @Override
-    public GrantAsk prefillAsk(
+    public GrantRequest prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft) {
-        return GrantAsks.DEFAULTS.prefill(
+        return GrantRequestFactory.DEFAULTS.prefill(
                 attempt, request(shape, generated, millisLeft), candidate(choice), millisLeft);
     }
 
     @Override
-    public GrantAsk decodeAsk(
+    public GrantRequest decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
@@ -166,26 +166,26 @@
         BackendSpec source = backends.get(prefill);
         if (decode == null || source == null) {
             // The backend server was deleted after ranking; its owner will reject the request.
-            return GrantAsks.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
+            return GrantRequestFactory.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
         }
-        return GrantAsks.DEFAULTS.decode(
+        return GrantRequestFactory.DEFAULTS.decode(
                 attempt, request, decode, source, prefillEndInMillis, millisLeft);
     }
 
     @Override
-    public boolean mayRetry(RequestShape shape, RetryReason reason, long now) {
+    public boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now) {
         synchronized (mRetries) {
-            return mRetries.tryTake(shape.service(), now);
+            return mRetries.tryAcquire(shape.service(), now);
         }
     }
 
     @Override
-    public void backendUnreached(BackendId backend, long now) {
+    public void backendUnreachable(BackendId backend, long now) {
         mFailureListener.onUnreachable(backend, now);
     }
 
     @Override
-    public void backendDied(RequestShape shape, BackendId backend, long now) {
+    public void backendCrashed(RequestShape shape, BackendId backend, long now) {
         mFailureListener.onCrash(backend, shape.fingerprint(), now);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
@@ -4,8 +4,8 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.RequestId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.engine.model.EngineFailure;
@@ -44,7 +44,7 @@
         mMetrics.requestTaken(service.name());
     }
 
-    void grantRequested(GrantAsk request) {
+    void grantRequested(GrantRequest request) {
         record(
                 DecisionStep.GRANT_ASKED,
                 request.role().code()
@@ -61,7 +61,7 @@
                         + " blocks");
     }
 
-    void grantAnswered(GrantAnswer response) {
+    void grantAnswered(GrantResponse response) {
         record(
                 DecisionStep.GRANT_ANSWERED,
                 response.decision()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -66,7 +66,7 @@
     }
 
     void callerDisconnected() {
-        feed(mMachine::onCallerGone);
+        feed(mMachine::onCallerDisconnected);
     }
 
     private void feed(LongFunction<List<RequestEffect>> event) {
@@ -81,21 +81,21 @@
     }
 
     @Override
-    public void askGrant(RequestEffect.AskGrant effect) {
-        mJournal.grantRequested(effect.ask());
-        mServices.blackboard().requests().write(table -> table.grantRequested(effect.ask()));
+    public void requestGrant(RequestEffect.RequestGrant effect) {
+        mJournal.grantRequested(effect.request());
+        mServices.blackboard().requests().write(table -> table.grantRequested(effect.request()));
         mServices
                 .grants()
-                .request(effect.ask())
+                .request(effect.request())
                 .thenAccept(
                         response -> {
                             mJournal.grantAnswered(response);
-                            feed(now -> mMachine.onGrantAnswer(response, now));
+                            feed(now -> mMachine.onGrantResponse(response, now));
                         });
     }
 
     @Override
-    public void endGrant(RequestEffect.EndGrant effect) {
+    public void releaseGrant(RequestEffect.ReleaseGrant effect) {
         mServices.blackboard().requests().write(table -> table.grantReleased(effect.attempt()));
         mServices.grants().release(effect.attempt(), effect.backend());
     }
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void countWaste(RequestEffect.CountWaste effect) {
+    public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
         mServices.metrics().prefillWasted(mShape.service(), effect.tokens());
     }
 
