--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -24,7 +24,7 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.core.time.MonotonicClock;
 import org.cyclamenpaddle.engine.http.BackendConnections;
-import org.cyclamenpaddle.relay.backend.BackendBoard;
+import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.backend.CostSettings;
 import org.cyclamenpaddle.relay.front.ConfigurationCell;
 import org.cyclamenpaddle.relay.front.RelayContext;
@@ -80,7 +80,7 @@
             Executors.newSingleThreadScheduledExecutor(RelayProcess::daemon);
     private final DemandMeter mDemand = new DemandMeter();
     private final SharedRetryBudget mBudget;
-    private final BackendBoard mBoard;
+    private final BackendRegistry mBoard;
     private final StartupGate mStartupGate = new StartupGate();
     private final StateUpdater mUpdater;
     private final RelayService mService;
@@ -109,7 +109,7 @@
         mConnections = adapter.connections();
         mLog = log;
         mBoard =
-                new BackendBoard(
+                new BackendRegistry(
                         new FailureDomain(settings.host().domain()),
                         CostSettings.DEFAULTS,
                         mRandom);
@@ -236,14 +236,18 @@
         String life = mSettings.host().name() + "-" + UUID.randomUUID();
         return new RoleController(
                 life,
-                new RoleController.Parts(
+                new RoleController.Dependencies(
                         mBoard,
                         mDemand,
                         new RoleAllocation(),
                         mAdapter.orders(),
                         mAdapter.lease(),
                         mLog),
-                () -> mConfiguration.inForce().map(RelayConfiguration::engines).orElse(Map.of()),
+                () ->
+                        mConfiguration
+                                .inForce()
+                                .map(RelayConfiguration::engineProfiles)
+                                .orElse(Map.of()),
                 mFollowing,
                 mClock,
                 System::currentTimeMillis,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.relay.backend.Backend;
-import org.cyclamenpaddle.relay.backend.BackendBoard;
+import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.front.ConfigurationCell;
 import org.cyclamenpaddle.relay.front.StartupGate;
 import org.cyclamenpaddle.relay.log.DecisionLog;
@@ -22,7 +22,7 @@
 
     private final DecisionLog mLog;
     private final ConfigurationCell mConfiguration;
-    private final BackendBoard mBoard;
+    private final BackendRegistry mBoard;
     private final Clock mClock;
     private final StartupGate mStartupGate;
     private final Runnable mCompleted;
@@ -38,7 +38,7 @@
     StateUpdater(
             DecisionLog log,
             ConfigurationCell configuration,
-            BackendBoard board,
+            BackendRegistry board,
             Clock clock,
             StartupGate startWait,
             Runnable completed) {
@@ -75,14 +75,14 @@
     private final class ConfigurationListener implements EntryListener<RelayConfiguration> {
 
         @Override
-        public void listed(List<Entry<RelayConfiguration>> entries) {
-            entries.forEach(this::changed);
+        public void onListing(List<Entry<RelayConfiguration>> entries) {
+            entries.forEach(this::onChange);
             mConfiguration.confirmed(true);
             learned();
         }
 
         @Override
-        public void changed(Entry<RelayConfiguration> entry) {
+        public void onChange(Entry<RelayConfiguration> entry) {
             long was = mConfiguration.version();
             if (entry.value().isLeft()) {
                 mLog.log(RelayEvent.CONFIGURATION_IGNORED, entry.value().getLeft(), was);
@@ -100,14 +100,14 @@
         }
 
         @Override
-        public void contactLost(StoreFailure failure) {
+        public void onStoreUnavailable(StoreFailure failure) {
             mStartupGate.end();
             mConfiguration.confirmed(false);
             mLog.log(RelayEvent.STORE_LOST, "configuration", failure);
         }
 
         @Override
-        public void contactRegained(long awayMillis) {
+        public void onStoreAvailable(long awayMillis) {
             mConfiguration.confirmed(true);
             mLog.log(RelayEvent.STORE_REGAINED, "configuration", awayMillis);
         }
@@ -116,20 +116,21 @@
     private final class BackendListener implements EntryListener<Backend> {
 
         @Override
-        public void listed(List<Entry<Backend>> entries) {
+        public void onListing(List<Entry<Backend>> entries) {
             Map<BackendId, Backend> named = new HashMap<>();
             entries.forEach(
                     entry -> entry.value().forEach(backend -> named.put(backend.id(), backend)));
-            mBoard.listed(named, mClock.millis());
+            mBoard.applyListing(named, mClock.millis());
             mBackendsListed = true;
             mLog.log(RelayEvent.BACKENDS_LISTED, named.size(), entries.size() - named.size());
             learned();
         }
 
         @Override
-        public void changed(Entry<Backend> entry) {
+        public void onChange(Entry<Backend> entry) {
             Optional<Backend> backend = entry.value().toJavaOptional();
-            backendId(entry.name()).ifPresent(id -> mBoard.changed(id, backend, mClock.millis()));
+            backendId(entry.name())
+                    .ifPresent(id -> mBoard.applyChange(id, backend, mClock.millis()));
             if (backend.isPresent()) {
                 Backend now = backend.get();
                 mLog.log(
@@ -137,20 +138,20 @@
                         now.id(),
                         now.endpoint(),
                         now.stage(),
-                        now.leaving());
+                        now.draining());
             } else {
                 mLog.log(RelayEvent.BACKEND_GONE, entry.name(), entry.value().getLeft());
             }
         }
 
         @Override
-        public void contactLost(StoreFailure failure) {
+        public void onStoreUnavailable(StoreFailure failure) {
             mStartupGate.end();
             mLog.log(RelayEvent.STORE_LOST, "backends", failure);
         }
 
         @Override
-        public void contactRegained(long awayMillis) {
+        public void onStoreAvailable(long awayMillis) {
             mLog.log(RelayEvent.STORE_REGAINED, "backends", awayMillis);
         }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
@@ -8,25 +8,26 @@
  * A backend server as its entry in the store describes it.
  *
  * @param id names one start of the server
- * @param bornMillis wall clock time of its start as it says itself; tells two lives of one id apart
+ * @param startedMillis wall clock time of its start as it says itself; tells two lives of one id
+ *     apart
  * @param service the service
  * @param address IP number
  * @param port TCP port
  * @param domain its failure domain
  * @param stage what it takes
  * @param slots requests that it runs at once
- * @param leaving whether it has announced its end
+ * @param draining whether it has announced its end
  */
 public record Backend(
         BackendId id,
-        long bornMillis,
+        long startedMillis,
         ServiceName service,
         String address,
         int port,
         FailureDomain domain,
         BackendStage stage,
         int slots,
-        boolean leaving) {
+        boolean draining) {
 
     private static final int MAX_PORT = 65_535;
 
@@ -41,13 +42,14 @@
     }
 
     /** Returns whether this entry and another describe the same life of the same server. */
-    public boolean sameLife(Backend other) {
-        return id.equals(other.id) && bornMillis == other.bornMillis;
+    public boolean sameIncarnation(Backend other) {
+        return id.equals(other.id) && startedMillis == other.startedMillis;
     }
 
     /** Returns this entry with another stage. */
     public Backend withStage(BackendStage other) {
-        return new Backend(id, bornMillis, service, address, port, domain, other, slots, leaving);
+        return new Backend(
+                id, startedMillis, service, address, port, domain, other, slots, draining);
     }
 
     /** Returns the address with its port. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendDirectory.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendDirectory.java
@@ -58,7 +58,7 @@
             return;
         }
         Backend old = mNamed.remove(id);
-        if (old != null && !old.leaving()) {
+        if (old != null && !old.draining()) {
             mGone.put(id, new Gone(old, nowMillis + LAPSED_MILLIS));
         }
     }
@@ -67,7 +67,7 @@
     public Stream<Backend> usable(ServiceName service) {
         return mNamed.values().stream()
                 .filter(backend -> backend.service().equals(service))
-                .filter(backend -> !backend.leaving());
+                .filter(backend -> !backend.draining());
     }
 
     /** Returns the servers of a service whose entries have just gone without an announcement. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendBoard.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendRegistry.java
@@ -21,7 +21,7 @@
  * <p>Safe for use by many threads; choosing a server and noting the work on it is one step, so that
  * two requests never both see the same last free place.
  */
-public final class BackendBoard {
+public final class BackendRegistry {
 
     private static final class State {
         private final BackendDirectory mDirectory = new BackendDirectory();
@@ -53,8 +53,8 @@
                     (id, old) ->
                             // A server born anew holds nothing of before: its open work, its
                             // failures and its waits are those of another life.
-                            old == null || old.bornMillis() != backend.bornMillis()
-                                    ? new BackendState(backend.bornMillis())
+                            old == null || old.bornMillis() != backend.startedMillis()
+                                    ? new BackendState(backend.startedMillis())
                                     : old);
         }
     }
@@ -71,14 +71,14 @@
      * @param costs weights of the comparison
      * @param random even draws from 0 to 1, to break ties
      */
-    public BackendBoard(FailureDomain ownDomain, CostSettings costs, DoubleSupplier random) {
+    public BackendRegistry(FailureDomain ownDomain, CostSettings costs, DoubleSupplier random) {
         mOwnDomain = ownDomain;
         mCosts = costs;
         mRandom = random;
     }
 
-    /** Takes in a whole listing; see {@link BackendDirectory#listed}. */
-    public void listed(Map<BackendId, Backend> listed, long nowMillis) {
+    /** Takes in a whole listing; see {@link BackendDirectory#onListing}. */
+    public void applyListing(Map<BackendId, Backend> listed, long nowMillis) {
         mTable.write(
                 state -> {
                     state.mDirectory.listed(listed, nowMillis);
@@ -86,8 +86,8 @@
                 });
     }
 
-    /** Takes in a changed entry; see {@link BackendDirectory#changed}. */
-    public void changed(BackendId id, Optional<Backend> entry, long nowMillis) {
+    /** Takes in a changed entry; see {@link BackendDirectory#onChange}. */
+    public void applyChange(BackendId id, Optional<Backend> entry, long nowMillis) {
         mTable.write(state -> state.mDirectory.changed(id, entry, nowMillis));
     }
 
@@ -110,13 +110,13 @@
      * @param nowMillis reading of the clock
      * @return empty if the service has no server that could take it now
      */
-    public Optional<Backend> place(
+    public Optional<Backend> select(
             ServiceName service, WorkSize size, Set<BackendId> avoid, long nowMillis) {
         return mTable.read(
                 state -> {
                     List<Backend> runners =
                             candidates(state, service, avoid, nowMillis)
-                                    .filter(backend -> backend.stage().runs())
+                                    .filter(backend -> backend.stage().completesRequests())
                                     .filter(backend -> !state.of(backend).isFull(nowMillis))
                                     .filter(
                                             runner ->
@@ -137,7 +137,7 @@
      * @param size its work
      * @param nowMillis reading of the clock
      */
-    public Optional<Backend> reader(Backend runner, WorkSize size, long nowMillis) {
+    public Optional<Backend> selectPrefillEngine(Backend runner, WorkSize size, long nowMillis) {
         if (runner.stage() != BackendStage.DECODE || size.promptTokens() == 0) {
             return Optional.empty();
         }
@@ -155,17 +155,17 @@
     }
 
     /** Notes the work of a request once more on a server that it is sent to again. */
-    public void placeAgain(Backend backend, WorkSize size) {
+    public void recordResend(Backend backend, WorkSize size) {
         mTable.write(state -> state.of(backend).started(size));
     }
 
     /** Notes that a prefill engine did not keep what it had read. */
-    public void resultLost(Backend reader, long nowMillis) {
+    public void recordPrefillResultLost(Backend reader, long nowMillis) {
         mTable.write(state -> state.of(reader).health().suspect(nowMillis));
     }
 
     /** Notes that a server that looked dead has answered. */
-    public void alive(Backend backend) {
+    public void recordAlive(Backend backend) {
         mTable.write(
                 state -> {
                     state.of(backend).health().alive();
@@ -174,7 +174,7 @@
     }
 
     /** Notes that a server has no room for a request of usual size at this moment. */
-    public void full(Backend backend, long nowMillis) {
+    public void recordFull(Backend backend, long nowMillis) {
         mTable.write(
                 state -> {
                     state.of(backend).full(nowMillis);
@@ -189,12 +189,12 @@
      * away each request that follows, whose prompt has been read for nothing. It is left out until
      * its entry changes, or for some seconds.
      */
-    public void outdated(Backend backend, long nowMillis) {
+    public void recordOutdated(Backend backend, long nowMillis) {
         mTable.write(state -> state.of(backend).outdated(backend, nowMillis));
     }
 
     /** Returns the prompt tokens that a service's prefill engines read in a millisecond. */
-    public double tokensReadPerMilli(ServiceName service) {
+    public double prefillTokensPerMilli(ServiceName service) {
         return mTable.read(state -> state.speed(service).tokensPerMilli());
     }
 
@@ -204,7 +204,7 @@
     }
 
     /** Takes in a server's report. */
-    public void reported(Backend backend, EngineReport report, long nowMillis) {
+    public void recordReport(Backend backend, EngineReport report, long nowMillis) {
         mTable.write(state -> state.of(backend).reported(report, nowMillis));
     }
 
@@ -214,7 +214,7 @@
     }
 
     /** Notes that a server has read a prompt. */
-    public void promptRead(Backend backend, WorkSize size) {
+    public void recordPrefillDone(Backend backend, WorkSize size) {
         mTable.write(state -> state.of(backend).open().promptRead(size));
     }
 
@@ -226,7 +226,7 @@
      * @param waitedMillis time since the send
      * @param nowMillis reading of the clock
      */
-    public void answered(Backend backend, WorkSize size, long waitedMillis, long nowMillis) {
+    public void recordFirstByte(Backend backend, WorkSize size, long waitedMillis, long nowMillis) {
         mTable.write(
                 state -> {
                     if (backend.stage() == BackendStage.PREFILL) {
@@ -239,7 +239,7 @@
     }
 
     /** Returns whether a server has answered some request of this host since a moment. */
-    public boolean answeredSince(Backend backend, long millis) {
+    public boolean respondedSince(Backend backend, long millis) {
         return mTable.read(state -> state.of(backend).answeredSince(millis));
     }
 
@@ -248,12 +248,12 @@
      *
      * @param backend the server
      * @param size the work
-     * @param promptRead whether {@link #promptRead} was noted for it
+     * @param promptRead whether {@link #recordPrefillDone} was noted for it
      * @param outcome what became of it
      * @param nowMillis reading of the clock
      * @return whether the server is left out for a time from now on
      */
-    public boolean ended(
+    public boolean recordOutcome(
             Backend backend,
             WorkSize size,
             boolean promptRead,
@@ -276,13 +276,13 @@
         List<Backend> named = except(state.mDirectory.usable(service), avoid);
         List<Backend> admitted =
                 named.stream().filter(backend -> state.admits(backend, nowMillis)).toList();
-        boolean runs = admitted.stream().anyMatch(backend -> backend.stage().runs());
+        boolean runs = admitted.stream().anyMatch(backend -> backend.stage().completesRequests());
         if (runs) {
             return admitted.stream();
         }
         // Never leave out a whole service: what looks like the failure of all its servers is more
         // often this host's own, and a request refused for it would have been served.
-        return named.stream().anyMatch(backend -> backend.stage().runs())
+        return named.stream().anyMatch(backend -> backend.stage().completesRequests())
                 ? named.stream()
                 : except(state.mDirectory.lapsed(service, nowMillis), avoid).stream();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendStage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendStage.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns whether requests run to their end here. */
-    public boolean runs() {
+    public boolean completesRequests() {
         return mRuns;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendState.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendState.java
@@ -113,7 +113,8 @@
 
     /** Returns the generations that it runs, as far as this host knows. */
     int runs(long nowMillis) {
-        int reported = report(nowMillis).map(report -> report.report().runs().size()).orElse(0);
+        int reported =
+                report(nowMillis).map(report -> report.report().generations().size()).orElse(0);
         return Math.max(reported, mOpen.requests() - 1);
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/DomainConnectivity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/DomainConnectivity.java
@@ -43,7 +43,7 @@
         if (outcome == SendOutcome.NOT_SENT) {
             mOutOfReach.add(backend);
             mNextTrialMillis = nowMillis + TRIAL_MILLIS;
-        } else if (outcome.serverAnswered()) {
+        } else if (outcome.serverResponded()) {
             mOutOfReach.clear();
         }
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
@@ -7,10 +7,11 @@
  * What an engine says of itself, as of some hundred milliseconds ago.
  *
  * @param ordersAccepted orders that it has accepted since its start
- * @param changing whether it is carrying out an order
- * @param runs the generations that it runs
+ * @param changingStage whether it is carrying out an order
+ * @param generations the generations that it runs
  */
-public record EngineReport(long ordersAccepted, boolean changing, List<Run> runs) {
+public record EngineReport(
+        long ordersAccepted, boolean changingStage, List<Generation> generations) {
 
     /**
      * One generation.
@@ -19,10 +20,10 @@
      * @param heldTokens tokens that it holds in memory
      * @param events events of its stream so far
      */
-    public record Run(String request, long heldTokens, long events) {}
+    public record Generation(String request, long heldTokens, long events) {}
 
     public EngineReport {
-        runs = List.copyOf(runs);
+        generations = List.copyOf(generations);
     }
 
     /**
@@ -30,8 +31,8 @@
      *
      * @param eventTokens tokens that an event stands for
      */
-    public List<RunningWork> work(int eventTokens) {
-        return runs.stream()
+    public List<RunningWork> runningWork(int eventTokens) {
+        return generations.stream()
                 .map(run -> new RunningWork(run.heldTokens(), run.events() * eventTokens))
                 .toList();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns whether the server has answered. */
-    public boolean serverAnswered() {
+    public boolean serverResponded() {
         return this == REJECTED || this == MISDIRECTED || this == SUCCEEDED || this == FAILED;
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/TimedReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/TimedReport.java
@@ -4,12 +4,12 @@
  * An engine's report with the time at which it came.
  *
  * @param report what it said
- * @param readMillis reading of the clock at its arrival
+ * @param receivedMillis reading of the clock at its arrival
  */
-public record TimedReport(EngineReport report, long readMillis) {
+public record TimedReport(EngineReport report, long receivedMillis) {
 
     /** Returns how long ago the report came, in milliseconds. */
     public long ageMillis(long nowMillis) {
-        return nowMillis - readMillis;
+        return nowMillis - receivedMillis;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -239,10 +239,10 @@
         mFlowing = true;
         long now = mRelay.clock().millis();
         mPatience.ifPresent(timer -> timer.cancel(false));
-        mRelay.board().answered(target(), explainedSize(), now - mStartMillis, now);
+        mRelay.board().recordFirstByte(target(), explainedSize(), now - mStartMillis, now);
         if (!mPromptRead) {
             mPromptRead = true;
-            mRelay.board().promptRead(target(), mRequest.caller().size());
+            mRelay.board().recordPrefillDone(target(), mRequest.caller().size());
         }
     }
 
@@ -290,7 +290,7 @@
         mPatience.ifPresent(timer -> timer.cancel(false));
         boolean ejected =
                 mRelay.board()
-                        .ended(
+                        .recordOutcome(
                                 target(),
                                 mRequest.caller().size(),
                                 mPromptRead,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerAnswer.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerAnswer.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.cyclamenpaddle.relay.retry.CallerReply;
-import org.cyclamenpaddle.relay.retry.EventTail;
+import org.cyclamenpaddle.relay.retry.EventFramer;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
 import org.cyclamenpaddle.relay.wire.BackendAnswer;
 
@@ -30,7 +30,7 @@
     private final RetryAfter mRetryAfter;
     private final RetryPolicy mRetryPolicy;
     private final boolean mStreams;
-    private final EventTail mTail;
+    private final EventFramer mTail;
     private final ByteArrayOutputStream mHeld = new ByteArrayOutputStream();
     private BackendAnswer mHead;
     private long mFirstMillis = -1;
@@ -47,7 +47,7 @@
         mRetryAfter = retryAfter;
         mRetryPolicy = retryPolicy;
         mStreams = request.route().kind().streams();
-        mTail = new EventTail(request.caller().resumeAfter());
+        mTail = new EventFramer(request.caller().resumeAfter());
     }
 
     /** Takes the head of a backend server's answer that may become the caller's. */
@@ -82,14 +82,14 @@
 
     /** Forgets what came of an answer that another one takes the place of. */
     void dropUnfinished() {
-        mTail.dropRest();
+        mTail.discardPartialEvent();
         mHeld.reset();
     }
 
     /** Ends the answer as complete. */
     void finish() {
         writeHead();
-        byte[] rest = mStreams ? mTail.takeRest() : mHeld.toByteArray();
+        byte[] rest = mStreams ? mTail.takePartialEvent() : mHeld.toByteArray();
         if (rest.length > 0) {
             mWriter.tryWrite(HttpData.wrap(rest));
         }
@@ -110,14 +110,14 @@
     void refuse(CallerReply reply, long leastMillis) {
         mStatus = reply.status();
         OptionalLong comeBack =
-                reply.comeBack() ? OptionalLong.of(leastMillis) : OptionalLong.empty();
+                reply.hasRetryAfter() ? OptionalLong.of(leastMillis) : OptionalLong.empty();
         mWriter.tryWrite(mRetryAfter.refusal(mStatus, comeBack));
         mWriter.close();
     }
 
     /** Returns the id of the last whole event that the caller was given or already had. */
     Optional<String> lastEventId() {
-        return mTail.lastId();
+        return mTail.lastEventId();
     }
 
     /** Returns the longest pause within the answer. */
@@ -163,7 +163,7 @@
         if (mRetryPolicy.isForwarding()) {
             return;
         }
-        mRetryPolicy.forwarding();
+        mRetryPolicy.beginForwarding();
         ResponseHeaders headers = ConnectionHeaders.without(mHead.headers());
         mStatus = headers.status().code();
         mWriter.tryWrite(mRetryAfter.whileStopping(headers.toBuilder()).build());
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.relay.backend.TimedReport;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.routing.reservation.ReservationWait;
 
 /**
@@ -58,16 +58,16 @@
 
     private OptionalLong besideNow(Backend engine, ReservationWait wait) {
         long now = mRelay.clock().millis();
-        EngineShape shape = mRequest.engine().orElseThrow();
+        EngineProfile shape = mRequest.engine().orElseThrow();
         WorkSize size = mRequest.caller().size();
         TimedReport none = new TimedReport(new EngineReport(0, false, List.of()), now);
         TimedReport report = mRelay.board().report(engine, now).orElse(none);
         OptionalLong room =
                 mRelay.demand()
-                        .room(
+                        .requiredFreeTokens(
                                 mRequest.service(),
                                 shape,
-                                report.report().work(shape.eventTokens()),
+                                report.report().runningWork(shape.tokensPerEvent()),
                                 report.ageMillis(now) + BORN_OLD_MILLIS,
                                 size);
         long left = wait.tokensLeft(now, size.memoryTokens(), usualTokens());
@@ -100,7 +100,7 @@
                 failure == null
                         ? mRelay.engines().report(answer)
                         : Either.left(String.valueOf(failure));
-        report.peek(told -> mRelay.board().reported(engine, told, mRelay.clock().millis()))
+        report.peek(told -> mRelay.board().recordReport(engine, told, mRelay.clock().millis()))
                 .peekLeft(
                         cause -> mRelay.log().log(RelayEvent.REPORT_NOT_READ, engine.id(), cause));
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -147,7 +147,7 @@
             return;
         }
         long now = mRelay.clock().millis();
-        mRelay.board().answered(mReader, mRequest.caller().size(), now - mStartMillis, now);
+        mRelay.board().recordFirstByte(mReader, mRequest.caller().size(), now - mStartMillis, now);
         end(SendOutcome.SUCCEEDED);
         mDone.accept(Optional.of(handle.get()));
     }
@@ -178,7 +178,7 @@
         long patience = patienceMillis();
         long most = (long) (mRequest.route().silenceMillis() * QUEUE_SHARE);
         long left = mStartMillis + most - now;
-        boolean queued = mRelay.board().answeredSince(mReader, mStartMillis);
+        boolean queued = mRelay.board().respondedSince(mReader, mStartMillis);
         if (queued && left > 0) {
             mPatience =
                     mLoop.schedule(this::tooLong, Math.min(patience, left), TimeUnit.MILLISECONDS);
@@ -204,6 +204,6 @@
         mEnded = true;
         mPatience.cancel(false);
         long now = mRelay.clock().millis();
-        mRelay.board().ended(mReader, mRequest.caller().size(), false, outcome, now);
+        mRelay.board().recordOutcome(mReader, mRequest.caller().size(), false, outcome, now);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.engine.http.BackendConnections;
-import org.cyclamenpaddle.relay.backend.BackendBoard;
+import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.metric.RelayMetrics;
 import org.cyclamenpaddle.relay.role.DemandMeter;
@@ -28,7 +28,7 @@
  * @param random even draws from 0 to 1
  */
 public record RelayContext(
-        BackendBoard board,
+        BackendRegistry board,
         SharedRetryBudget budget,
         DemandMeter demand,
         Table<ReturningClients> callers,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.relay.role.Demand;
 import org.cyclamenpaddle.relay.role.DemandMeter;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.relay.route.Route;
 import org.cyclamenpaddle.relay.wire.CallerRequest;
 import org.cyclamenpaddle.routing.reservation.ClientRetryDelay;
@@ -25,7 +25,7 @@
         HttpData body,
         Route route,
         ServiceName service,
-        Optional<EngineShape> engine,
+        Optional<EngineProfile> engine,
         long version) {
 
     /** Share of a call's target after which it may come back: about another call's work. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
@@ -131,7 +131,7 @@
                         whole.content(),
                         route,
                         service,
-                        configuration.engine(service),
+                        configuration.engineProfile(service),
                         configuration.version());
         Channel connection = context.log().partial().channel();
         CallerConnection watch = new CallerConnection(connection);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -13,8 +13,8 @@
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.retry.CallerReply;
 import org.cyclamenpaddle.relay.retry.RetryDecision;
+import org.cyclamenpaddle.relay.retry.RetryLimits;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
-import org.cyclamenpaddle.relay.retry.RetryTerms;
 import org.cyclamenpaddle.relay.role.Demand;
 import org.cyclamenpaddle.relay.route.RouteKind;
 import org.cyclamenpaddle.relay.wire.BackendCall;
@@ -62,7 +62,7 @@
         mOnEnd = onEnd;
         mStartMillis = relay.clock().millis();
         long callerMillis = request.caller().callerMillis().orElse(Long.MAX_VALUE);
-        mRetryPolicy = new RetryPolicy(RetryTerms.of(request.route(), callerMillis), mStartMillis);
+        mRetryPolicy = new RetryPolicy(RetryLimits.of(request.route(), callerMillis), mStartMillis);
         mAnswer = new CallerAnswer(writer, request, retryAfter, mRetryPolicy);
         mRequestLog = new RequestLog(relay, request, mRetryPolicy, mAnswer, mStartMillis);
     }
@@ -70,9 +70,9 @@
     void start() {
         mRelay.budget().requested(mRequest.service());
         if (mRequest.engine().isPresent()) {
-            mRelay.demand().begun(mRequest.service(), mRequest.caller().size());
+            mRelay.demand().recordStart(mRequest.service(), mRequest.caller().size());
         }
-        long left = mRetryPolicy.leftMillis(mStartMillis);
+        long left = mRetryPolicy.remainingMillis(mStartMillis);
         mGiveUp = mLoop.schedule(this::giveUp, left, TimeUnit.MILLISECONDS);
         place();
     }
@@ -83,7 +83,7 @@
             return;
         }
         mSend.ifPresent(BackendAttempt::cancel);
-        mRelay.metrics().callerGone();
+        mRelay.metrics().recordDisconnect();
         mRequestLog.callerGone(mLast);
         end();
     }
@@ -98,7 +98,7 @@
         }
         Optional<Backend> runner =
                 mRelay.board()
-                        .place(
+                        .select(
                                 mRequest.service(),
                                 mRequest.caller().size(),
                                 mTried,
@@ -119,7 +119,7 @@
         long now = mRelay.clock().millis();
         mPlaceMillis = now - mStartMillis;
         ReservationSearch.Place place = found.get();
-        mReader = mRelay.board().reader(place.runner(), mRequest.caller().size(), now);
+        mReader = mRelay.board().selectPrefillEngine(place.runner(), mRequest.caller().size(), now);
         if (mReader.isEmpty()) {
             send(place, Optional.empty());
             return;
@@ -129,7 +129,7 @@
                         mRelay, mRequest, mReader.get(), handle -> promptRead(place, handle));
         mReading = Optional.of(reading);
         mPlace = Optional.of(place);
-        reading.start(mLoop, mRetryPolicy.leftMillis(now));
+        reading.start(mLoop, mRetryPolicy.remainingMillis(now));
     }
 
     private void promptRead(ReservationSearch.Place place, Optional<PromptHandle> handle) {
@@ -151,7 +151,7 @@
 
     private void release(Backend runner) {
         mRelay.board()
-                .ended(
+                .recordOutcome(
                         runner,
                         mRequest.caller().size(),
                         true,
@@ -163,7 +163,7 @@
         Backend runner = place.runner();
         mTried.add(runner.id());
         mLast = Optional.of(runner);
-        mRetryPolicy.sending();
+        mRetryPolicy.beginSend();
         open(place, prompt);
     }
 
@@ -172,12 +172,12 @@
         BackendCall call =
                 new BackendCall(
                         runner,
-                        mRetryPolicy.leftMillis(mRelay.clock().millis()),
+                        mRetryPolicy.remainingMillis(mRelay.clock().millis()),
                         false,
                         prompt,
                         place.reservation(),
                         mAnswer.lastEventId());
-        boolean othersLeft = mRequest.route().repeatable() && mRetryPolicy.mayGoOn();
+        boolean othersLeft = mRequest.route().repeatable() && mRetryPolicy.hasAttemptsLeft();
         BackendAttempt send =
                 new BackendAttempt(
                         mRelay,
@@ -188,7 +188,7 @@
                                 mReader.isPresent(),
                                 othersLeft,
                                 connection(place),
-                                mRetryPolicy::sentOnceMore),
+                                mRetryPolicy::recordDuplicateSend),
                         this::sendEnded);
         mSend = Optional.of(send);
         send.start(mLoop);
@@ -226,13 +226,14 @@
      */
     private void turnedAway(Backend target) {
         if (mRequest.engine().isPresent()) {
-            mRelay.board().outdated(target, mRelay.clock().millis());
-            mLostReader.ifPresent(mRelay.board()::alive);
+            mRelay.board().recordOutdated(target, mRelay.clock().millis());
+            mLostReader.ifPresent(mRelay.board()::recordAlive);
         }
     }
 
     private boolean mayGoOnHere() {
-        return mRequest.engine().isPresent() && mRetryPolicy.mayGoOnHere(mRelay.clock().millis());
+        return mRequest.engine().isPresent()
+                && mRetryPolicy.mayResumeOnSameBackend(mRelay.clock().millis());
     }
 
     /**
@@ -254,7 +255,7 @@
                     if (mEnded) {
                         answer.reservation()
                                 .ifPresent(name -> ReserveCall.cancel(mRelay, send.target(), name));
-                    } else if (answer.kept() && mRetryPolicy.goingOnHere(this::takeRetry)) {
+                    } else if (answer.kept() && mRetryPolicy.resumeOnSameBackend(this::takeRetry)) {
                         mRequestLog.sendEnded(
                                 send, SendOutcome.UNKNOWN, cause, RetryDecision.SEND_AGAIN);
                         openHere(send, answer.reservation());
@@ -267,11 +268,11 @@
     }
 
     private void openHere(BackendAttempt send, Optional<String> reservation) {
-        mRelay.metrics().retried(SendOutcome.UNKNOWN);
+        mRelay.metrics().recordRetry(SendOutcome.UNKNOWN);
         mAnswer.dropUnfinished();
         mReader = Optional.empty();
-        mRelay.board().alive(send.target());
-        mRelay.board().placeAgain(send.target(), mRequest.caller().size());
+        mRelay.board().recordAlive(send.target());
+        mRelay.board().recordResend(send.target(), mRequest.caller().size());
         open(new ReservationSearch.Place(send.target(), reservation), Optional.empty());
     }
 
@@ -285,28 +286,29 @@
     private void promptLost(BackendAttempt send, String cause) {
         long now = mRelay.clock().millis();
         mLostReader = mReader;
-        mLostReader.ifPresent(reader -> mRelay.board().resultLost(reader, now));
+        mLostReader.ifPresent(reader -> mRelay.board().recordPrefillResultLost(reader, now));
         mReader = Optional.empty();
-        boolean again = mRetryPolicy.sendingHereAgain(now, this::takeRetry);
+        boolean again = mRetryPolicy.resendToSameBackend(now, this::takeRetry);
         if (!again) {
             next(send, SendOutcome.REJECTED, cause);
             return;
         }
         mRequestLog.sendEnded(send, SendOutcome.REJECTED, cause, RetryDecision.SEND_AGAIN);
-        mRelay.metrics().retried(SendOutcome.REJECTED);
-        mRelay.board().placeAgain(send.target(), mRequest.caller().size());
+        mRelay.metrics().recordRetry(SendOutcome.REJECTED);
+        mRelay.board().recordResend(send.target(), mRequest.caller().size());
         open(new ReservationSearch.Place(send.target(), Optional.empty()), Optional.empty());
     }
 
     private void next(BackendAttempt send, SendOutcome outcome, String cause) {
-        RetryDecision next = mRetryPolicy.ended(outcome, mRelay.clock().millis(), this::takeRetry);
+        RetryDecision next =
+                mRetryPolicy.endSend(outcome, mRelay.clock().millis(), this::takeRetry);
         if (next == RetryDecision.PASS_ON) {
             passOn();
             return;
         }
         mRequestLog.sendEnded(send, outcome, cause, next);
         if (next == RetryDecision.SEND_AGAIN) {
-            mRelay.metrics().retried(outcome);
+            mRelay.metrics().recordRetry(outcome);
             mAnswer.dropUnfinished();
             place();
         } else {
@@ -332,7 +334,7 @@
     private void passOn() {
         mAnswer.finish();
         measureDemand();
-        mRelay.metrics().answered(mRequest.route().kind(), mRequestLog.spentMillis());
+        mRelay.metrics().recordResponse(mRequest.route().kind(), mRequestLog.spentMillis());
         mRequestLog.answered(mLast, mReader, mPlaceMillis);
         end();
     }
@@ -342,10 +344,10 @@
         boolean whole = mRequest.caller().resumeAfter().isEmpty() && mAnswer.status() < 300;
         if (mRequest.engine().isPresent() && first >= 0 && whole) {
             WorkSize size = mRequest.caller().size();
-            long made = mAnswer.events() * mRequest.engine().get().eventTokens();
+            long made = mAnswer.events() * mRequest.engine().get().tokensPerEvent();
             Demand demand =
                     new Demand(size.promptTokens(), made, mRequestLog.spentMillis() - first);
-            mRelay.demand().ended(mRequest.service(), size, demand);
+            mRelay.demand().recordEnd(mRequest.service(), size, demand);
         }
     }
 
@@ -369,7 +371,7 @@
             mAnswer.refuse(reply, mRequest.comeBackMillis(mRelay.demand()));
             mRequestLog.failed(reply, reason);
         }
-        mRelay.metrics().refused(reply);
+        mRelay.metrics().recordRefusal(reply);
         end();
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -94,7 +94,7 @@
         Optional<Backend> chosen =
                 mReservePacing.pauseIsDue()
                         ? Optional.empty()
-                        : mRelay.board().place(mRequest.service(), size(), mAvoid, now);
+                        : mRelay.board().select(mRequest.service(), size(), mAvoid, now);
         if (chosen.isPresent()) {
             ask(chosen.get());
         } else if (!mReservationWait.mayGoOn(now)) {
@@ -171,7 +171,7 @@
         mAsked = Optional.empty();
         giveBack(runner, answer.outcome());
         if (answer.full()) {
-            mRelay.board().full(runner, mRelay.clock().millis());
+            mRelay.board().recordFull(runner, mRelay.clock().millis());
             mReservePacing.turnedAway();
         } else {
             mAvoid.add(runner.id());
@@ -182,7 +182,7 @@
     }
 
     private void giveBack(Backend runner, SendOutcome outcome) {
-        mRelay.board().ended(runner, size(), false, outcome, mRelay.clock().millis());
+        mRelay.board().recordOutcome(runner, size(), false, outcome, mRelay.clock().millis());
     }
 
     private WorkSize size() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -68,7 +68,7 @@
             Consumer<Answer> done) {
         ReserveCall ask = new ReserveCall(relay, request, loop, engine);
         long tokens = request.caller().size().memoryTokens();
-        long keptMillis = request.engine().orElseThrow().reserveMillis();
+        long keptMillis = request.engine().orElseThrow().maxReservationMillis();
         ask.keep(tokens, keptMillis, true).thenAcceptAsync(done, loop);
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
@@ -87,7 +87,7 @@
                 .thenCompose(
                         taken ->
                                 taken
-                                        ? mStore.announced()
+                                        ? mStore.heartbeats()
                                         : CompletableFuture.completedFuture(
                                                 Either.left(StoreFailure.TURNED_AWAY)))
                 .thenAcceptAsync(this::counted, mExecutor);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
@@ -19,7 +19,7 @@
     CompletableFuture<Boolean> announce(String host, long beat);
 
     /** Returns the newest beat of each host that has announced itself. */
-    CompletableFuture<Either<StoreFailure, List<Entry<Long>>>> announced();
+    CompletableFuture<Either<StoreFailure, List<Entry<Long>>>> heartbeats();
 
     /** Removes the entry of a host that is gone. */
     CompletableFuture<Boolean> remove(String host);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/metric/RelayMetrics.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/metric/RelayMetrics.java
@@ -25,7 +25,7 @@
      * @param kind kind of its route
      * @param millis from its arrival to its end
      */
-    public void answered(Enum<?> kind, long millis) {
+    public void recordResponse(Enum<?> kind, long millis) {
         Timer.builder(PREFIX + "request")
                 .tag("kind", tag(kind))
                 .publishPercentileHistogram(false)
@@ -40,17 +40,17 @@
     }
 
     /** Counts a request that ended without a backend server's answer. */
-    public void refused(Enum<?> reason) {
+    public void recordRefusal(Enum<?> reason) {
         counter("refusals", REASON, tag(reason)).increment();
     }
 
     /** Counts a send that was followed by another one. */
-    public void retried(Enum<?> reason) {
+    public void recordRetry(Enum<?> reason) {
         counter("retries", REASON, tag(reason)).increment();
     }
 
     /** Counts a caller that left before its answer. */
-    public void callerGone() {
+    public void recordDisconnect() {
         counter("callers_gone", REASON, "left").increment();
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns whether the answer tells when to come back. */
-    public boolean comeBack() {
+    public boolean hasRetryAfter() {
         return mComeBack;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/EventTail.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/EventFramer.java
@@ -10,7 +10,7 @@
  * to the caller, the next server's stream would be joined to half an event. So only whole events
  * are let through, and the stream can go on after the last of them. Not thread-safe.
  */
-public final class EventTail {
+public final class EventFramer {
 
     private static final String ID_FIELD = "id:";
 
@@ -25,7 +25,7 @@
      *
      * @param lastId id of the last event that the caller has; empty at the beginning
      */
-    public EventTail(Optional<String> lastId) {
+    public EventFramer(Optional<String> lastId) {
         mLastId = lastId;
     }
 
@@ -49,21 +49,21 @@
     }
 
     /** Forgets the bytes of an event that was not completed. */
-    public void dropRest() {
+    public void discardPartialEvent() {
         mRest.reset();
         mLine.setLength(0);
         mPendingId = Optional.empty();
     }
 
     /** Returns the bytes after the last whole event and forgets them. */
-    public byte[] takeRest() {
+    public byte[] takePartialEvent() {
         byte[] rest = mRest.toByteArray();
-        dropRest();
+        discardPartialEvent();
         return rest;
     }
 
     /** Returns the id of the last whole event. */
-    public Optional<String> lastId() {
+    public Optional<String> lastEventId() {
         return mLastId;
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryTerms.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryLimits.java
@@ -7,14 +7,14 @@
  *
  * @param repeatable whether it may be sent again after it may have run
  * @param maxAttempts backend servers that it may be sent to
- * @param patienceMillis longest wait for its final answer
+ * @param timeoutMillis longest wait for its final answer
  */
-public record RetryTerms(boolean repeatable, int maxAttempts, long patienceMillis) {
+public record RetryLimits(boolean repeatable, int maxAttempts, long timeoutMillis) {
 
-    public RetryTerms {
-        if (maxAttempts < 1 || patienceMillis < 0) {
+    public RetryLimits {
+        if (maxAttempts < 1 || timeoutMillis < 0) {
             throw new IllegalArgumentException(
-                    "retries of " + maxAttempts + " attempts in " + patienceMillis + " ms");
+                    "retries of " + maxAttempts + " attempts in " + timeoutMillis + " ms");
         }
     }
 
@@ -24,8 +24,8 @@
      * @param route its route
      * @param callerMillis how long its caller waits
      */
-    public static RetryTerms of(Route route, long callerMillis) {
-        return new RetryTerms(
+    public static RetryLimits of(Route route, long callerMillis) {
+        return new RetryLimits(
                 route.repeatable(),
                 route.maxAttempts(),
                 Math.max(0, Math.min(route.timeoutMillis(), callerMillis)));
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
@@ -25,7 +25,7 @@
      */
     static final int MOST_GONE_ON_HERE = 2;
 
-    private final RetryTerms mTerms;
+    private final RetryLimits mTerms;
     private final long mStartMillis;
     private int mSends;
     private int mUnsent;
@@ -41,18 +41,18 @@
      * @param terms its bounds
      * @param nowMillis reading of the clock
      */
-    public RetryPolicy(RetryTerms terms, long nowMillis) {
+    public RetryPolicy(RetryLimits terms, long nowMillis) {
         mTerms = terms;
         mStartMillis = nowMillis;
     }
 
     /** Returns the time left for the final answer, in milliseconds; never negative. */
-    public long leftMillis(long nowMillis) {
-        return Math.max(0, mStartMillis + mTerms.patienceMillis() - nowMillis);
+    public long remainingMillis(long nowMillis) {
+        return Math.max(0, mStartMillis + mTerms.timeoutMillis() - nowMillis);
     }
 
     /** Notes that the request is handed to a backend server now. */
-    public void sending() {
+    public void beginSend() {
         Invariants.require(!mSending && !mEnded, () -> "a request is sent while another send runs");
         Invariants.require(
                 mSends < mTerms.maxAttempts(),
@@ -73,29 +73,29 @@
      * @param nowMillis reading of the clock
      * @param budget takes one repeat out of the shared budget
      */
-    public boolean sendingHereAgain(long nowMillis, BooleanSupplier budget) {
+    public boolean resendToSameBackend(long nowMillis, BooleanSupplier budget) {
         Invariants.require(mSending, () -> "a request is sent again that was not sent");
-        return leftMillis(nowMillis) >= LEAST_USEFUL_MILLIS && budget.getAsBoolean();
+        return remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS && budget.getAsBoolean();
     }
 
     /**
      * Returns whether a request whose connection broke may go on at the same backend server.
      *
-     * <p>Like {@link #sendingHereAgain} it uses up no attempt; unlike there the server has run it,
-     * so that its route must allow repeats, and a server that breaks again and again is left.
+     * <p>Like {@link #resendToSameBackend} it uses up no attempt; unlike there the server has run
+     * it, so that its route must allow repeats, and a server that breaks again and again is left.
      */
-    public boolean mayGoOnHere(long nowMillis) {
+    public boolean mayResumeOnSameBackend(long nowMillis) {
         Invariants.require(mSending, () -> "a request goes on that was not sent");
         return mTerms.repeatable()
                 && mGoneOnHere < MOST_GONE_ON_HERE
-                && leftMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
+                && remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
     }
 
     /**
      * Notes that a request whose connection broke goes on at the same backend server, if the shared
      * budget has a repeat left; the send that was begun then goes on.
      */
-    public boolean goingOnHere(BooleanSupplier budget) {
+    public boolean resumeOnSameBackend(BooleanSupplier budget) {
         boolean goesOn = budget.getAsBoolean();
         if (goesOn) {
             mMayHaveRun = true;
@@ -108,13 +108,13 @@
      * Notes that the present send is made a second time to its server, after a connection that
      * broke; whatever becomes of it now, the first time may have run.
      */
-    public void sentOnceMore() {
+    public void recordDuplicateSend() {
         Invariants.require(mTerms.repeatable(), () -> "a request is sent twice to one server");
         mMayHaveRun = true;
     }
 
     /** Notes that the caller has got the head of an answer. */
-    public void forwarding() {
+    public void beginForwarding() {
         mForwarding = true;
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Returns whether the attempts allow another send after the present one. */
-    public boolean mayGoOn() {
+    public boolean hasAttemptsLeft() {
         return mSends < mTerms.maxAttempts();
     }
 
@@ -140,7 +140,7 @@
      * @param nowMillis reading of the clock
      * @param budget takes one repeat out of the shared budget; asked only if one would be sent
      */
-    public RetryDecision ended(SendOutcome outcome, long nowMillis, BooleanSupplier budget) {
+    public RetryDecision endSend(SendOutcome outcome, long nowMillis, BooleanSupplier budget) {
         Invariants.require(mSending, () -> "a send ends that was not begun");
         mSending = false;
         if (outcome == SendOutcome.NOT_SENT) {
@@ -171,7 +171,7 @@
         if (!mMayHaveRun) {
             return CallerReply.NOT_RUN;
         }
-        return leftMillis(nowMillis) == 0 ? CallerReply.TIMED_OUT : CallerReply.FAILED;
+        return remainingMillis(nowMillis) == 0 ? CallerReply.TIMED_OUT : CallerReply.FAILED;
     }
 
     private boolean mayRepeat(SendOutcome outcome, long nowMillis) {
@@ -180,6 +180,6 @@
                 && outcome != SendOutcome.ABANDONED
                 && mSends < mTerms.maxAttempts()
                 && mUnsent < MOST_UNSENT
-                && leftMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
+                && remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Demand.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Demand.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns the tokens that a generation makes in a millisecond. */
-    public double pace() {
+    public double tokensPerMilli() {
         return decodeMillis == 0 ? 0 : outputTokens / decodeMillis;
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
@@ -9,7 +9,7 @@
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.relay.backend.WorkSize;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.routing.memory.EngineWork;
 import org.cyclamenpaddle.routing.memory.MemoryForecast;
 import org.cyclamenpaddle.routing.memory.OutputLengths;
@@ -48,7 +48,7 @@
             new Table<>(TableOrder.DEMAND, new HashMap<>());
 
     /** Takes in a generation that has arrived. */
-    public void begun(ServiceName service, WorkSize size) {
+    public void recordStart(ServiceName service, WorkSize size) {
         mSeen.write(seen -> of(seen, service).mLengths.begun(size.asNewWork()));
     }
 
@@ -59,7 +59,7 @@
      * @param size what was known of it at its arrival
      * @param demand what it has asked for
      */
-    public void ended(ServiceName service, WorkSize size, Demand demand) {
+    public void recordEnd(ServiceName service, WorkSize size, Demand demand) {
         mSeen.write(
                 seen -> {
                     Seen known = of(seen, service);
@@ -87,16 +87,16 @@
      * @param reportMillis age of the report
      * @param size the new generation
      */
-    public OptionalLong room(
+    public OptionalLong requiredFreeTokens(
             ServiceName service,
-            EngineShape shape,
+            EngineProfile shape,
             List<RunningWork> runs,
             long reportMillis,
             WorkSize size) {
         return mSeen.read(
                 seen -> {
                     Seen known = of(seen, service);
-                    long since = Math.round(known.mMean.pace() * reportMillis);
+                    long since = Math.round(known.mMean.tokensPerMilli() * reportMillis);
                     return known.mOutlook.room(
                             new EngineWork(shape.memoryTokens(), runs, since), size.asNewWork());
                 });
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineLoad.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineLoad.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.relay.role;
 
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 
 /**
  * What a mean generation takes of one engine.
@@ -24,7 +24,7 @@
      * @param shape of an engine
      * @param tokensReadPerMilli prompt tokens that a prefill engine reads in a millisecond
      */
-    static EngineLoad of(Demand demand, EngineShape shape, double tokensReadPerMilli) {
+    static EngineLoad of(Demand demand, EngineProfile shape, double tokensReadPerMilli) {
         double heldTokens = demand.promptTokens() + demand.outputTokens() / 2;
         return new EngineLoad(
                 Math.max(1, demand.promptTokens()) / tokensReadPerMilli,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrders.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrders.java
@@ -12,7 +12,7 @@
      *
      * @return the number; left if it is carrying one out, or did not say
      */
-    CompletableFuture<Either<String, Long>> accepted(Backend engine);
+    CompletableFuture<Either<String, Long>> acceptedOrders(Backend engine);
 
     /**
      * Orders a change of stage.
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
@@ -72,7 +72,7 @@
      */
     public OptionalLong fence(long nowMillis, long wallMillis) {
         return mHeld.filter(held -> certain(held, nowMillis, wallMillis)).stream()
-                .mapToLong(held -> held.lease().record().fence())
+                .mapToLong(held -> held.lease().record().fencingToken())
                 .findFirst();
     }
 
@@ -94,7 +94,7 @@
             LeaseRecord old = mHeld.get().lease().record();
             return Optional.of(
                     new Claim(
-                            new LeaseRecord(mSelf, old.fence(), old.beat() + 1),
+                            new LeaseRecord(mSelf, old.fencingToken(), old.heartbeat() + 1),
                             OptionalLong.of(mHeld.get().lease().revision())));
         }
         if (mSeen.isEmpty()) {
@@ -105,7 +105,7 @@
         return abandoned
                 ? Optional.of(
                         new Claim(
-                                new LeaseRecord(mSelf, old.record().fence() + 1, 0),
+                                new LeaseRecord(mSelf, old.record().fencingToken() + 1, 0),
                                 OptionalLong.of(old.revision())))
                 : Optional.empty();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
@@ -14,11 +14,11 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.relay.backend.Backend;
-import org.cyclamenpaddle.relay.backend.BackendBoard;
+import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.backend.BackendStage;
 import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
@@ -55,8 +55,8 @@
      * @param store of the lease
      * @param log decision lines
      */
-    public record Parts(
-            BackendBoard board,
+    public record Dependencies(
+            BackendRegistry board,
             DemandMeter demand,
             RoleAllocation plan,
             EngineOrders orders,
@@ -65,11 +65,11 @@
 
     /** The services whose engines are kept in line, with the shapes of their engines. */
     public interface EngineServices {
-        Map<ServiceName, EngineShape> now();
+        Map<ServiceName, EngineProfile> current();
     }
 
     private final String mSelf;
-    private final Parts mParts;
+    private final Dependencies mParts;
     private final EngineServices mServices;
     private final ScheduledExecutorService mExecutor;
     private final Clock mClock;
@@ -92,7 +92,7 @@
      */
     public RoleController(
             String self,
-            Parts parts,
+            Dependencies parts,
             EngineServices services,
             ScheduledExecutorService executor,
             Clock clock,
@@ -118,7 +118,7 @@
     }
 
     private void look() {
-        if (mServices.now().isEmpty()) {
+        if (mServices.current().isEmpty()) {
             later(OTHERS_MILLIS);
         } else if (mLease.isHolder()) {
             claim();
@@ -171,7 +171,7 @@
     private void plan() {
         mOrdered.values().removeIf(ordered -> ordered.untilMillis() <= mClock.millis());
         Optional<StageChange> change =
-                mServices.now().entrySet().stream()
+                mServices.current().entrySet().stream()
                         .flatMap(entry -> next(entry.getKey(), entry.getValue()).stream())
                         .findFirst();
         if (change.isEmpty()) {
@@ -179,11 +179,11 @@
             return;
         }
         mParts.orders()
-                .accepted(change.get().engine())
+                .acceptedOrders(change.get().engine())
                 .thenAcceptAsync(accepted -> order(change.get(), accepted), mExecutor);
     }
 
-    private Optional<StageChange> next(ServiceName service, EngineShape shape) {
+    private Optional<StageChange> next(ServiceName service, EngineProfile shape) {
         List<Backend> engines =
                 mParts.board().usable(service).stream().map(this::withOrderedStage).toList();
         boolean settled = mEngines.settled(service, engines, mClock.millis());
@@ -193,8 +193,8 @@
                 : Optional.empty();
     }
 
-    private Optional<EngineLoad> load(ServiceName service, EngineShape shape) {
-        double speed = mParts.board().tokensReadPerMilli(service);
+    private Optional<EngineLoad> load(ServiceName service, EngineProfile shape) {
+        double speed = mParts.board().prefillTokensPerMilli(service);
         return mParts.demand().of(service).map(demand -> EngineLoad.of(demand, shape, speed));
     }
 
@@ -236,8 +236,8 @@
     }
 
     private long changeMillis(Backend engine) {
-        return Optional.ofNullable(mServices.now().get(engine.service()))
-                .map(shape -> CHANGE_TIMES * shape.switchMillis())
+        return Optional.ofNullable(mServices.current().get(engine.service()))
+                .map(shape -> CHANGE_TIMES * shape.stageSwitchMillis())
                 .orElse(0L);
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RelayConfiguration.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RelayConfiguration.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the services that engines serve, with the shapes of their engines. */
-    public Map<ServiceName, EngineShape> engines() {
+    public Map<ServiceName, EngineProfile> engineProfiles() {
         return mServices.values().stream()
                 .filter(service -> service.engine().isPresent())
                 .collect(
@@ -71,7 +71,7 @@
     }
 
     /** Returns the shape of a service's engines; empty for a plain or unknown service. */
-    public Optional<EngineShape> engine(ServiceName service) {
+    public Optional<EngineProfile> engineProfile(ServiceName service) {
         return Optional.ofNullable(mServices.get(service)).flatMap(ServicePolicy::engine);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/ServicePolicy.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/ServicePolicy.java
@@ -9,7 +9,7 @@
  * @param name the service
  * @param engine shape of its engines; empty for a plain service
  */
-public record ServicePolicy(ServiceName name, Optional<EngineShape> engine) {
+public record ServicePolicy(ServiceName name, Optional<EngineProfile> engine) {
 
     public ServicePolicy {
         if (name == null || engine == null) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
@@ -10,14 +10,14 @@
 public interface EntryListener<T> {
 
     /** Takes in a whole listing. */
-    void listed(List<Entry<T>> entries);
+    void onListing(List<Entry<T>> entries);
 
     /** Takes in one changed object. */
-    void changed(Entry<T> entry);
+    void onChange(Entry<T> entry);
 
     /** Called when calls begin to fail. */
-    void contactLost(StoreFailure failure);
+    void onStoreUnavailable(StoreFailure failure);
 
     /** Called when calls succeed again, before what they brought. */
-    void contactRegained(long awayMillis);
+    void onStoreAvailable(long awayMillis);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
@@ -115,7 +115,7 @@
             list(Optional.of(page.entries().get(page.entries().size() - 1).name()));
             return;
         }
-        mListener.listed(List.copyOf(mListing));
+        mListener.onListing(List.copyOf(mListing));
         mListing.clear();
         watch();
     }
@@ -174,7 +174,7 @@
     /** Takes changes in and returns whether there were any. */
     private boolean take(EntryPage<T> page) {
         mRevision = Math.max(mRevision, page.revision());
-        page.entries().forEach(mListener::changed);
+        page.entries().forEach(mListener::onChange);
         return !page.entries().isEmpty();
     }
 
@@ -208,7 +208,7 @@
         mFailures++;
         if (mLostAtMillis.isEmpty()) {
             mLostAtMillis = Optional.of(mClock.millis());
-            mListener.contactLost(failure);
+            mListener.onStoreUnavailable(failure);
         }
     }
 
@@ -216,7 +216,7 @@
         mFailures = 0;
         Optional<Long> lost = mLostAtMillis;
         mLostAtMillis = Optional.empty();
-        lost.ifPresent(at -> mListener.contactRegained(mClock.millis() - at));
+        lost.ifPresent(at -> mListener.onStoreAvailable(mClock.millis() - at));
     }
 
     /**
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/BackendBoardTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/BackendRegistryTest.java
@@ -16,29 +16,29 @@
 import org.testng.annotations.Test;
 
 /** Tests the choice among backend servers and what outcomes do to it. */
-public class BackendBoardTest {
+public class BackendRegistryTest {
 
     private static final WorkSize SIZE = new WorkSize(5_000, 800);
 
-    private BackendBoard mBoard;
+    private BackendRegistry mBoard;
 
     @BeforeMethod
     public void makeBoard() {
-        mBoard = new BackendBoard(new FailureDomain("a"), CostSettings.DEFAULTS, () -> 0.5);
+        mBoard = new BackendRegistry(new FailureDomain("a"), CostSettings.DEFAULTS, () -> 0.5);
     }
 
     private void list(Backend... backends) {
         Map<BackendId, Backend> named = new HashMap<>();
         Stream.of(backends).forEach(backend -> named.put(backend.id(), backend));
-        mBoard.listed(named, 0);
+        mBoard.applyListing(named, 0);
     }
 
     private Optional<Backend> place(long nowMillis) {
-        return mBoard.place(Backends.SERVICE, SIZE, Set.of(), nowMillis);
+        return mBoard.select(Backends.SERVICE, SIZE, Set.of(), nowMillis);
     }
 
     private void end(Backend backend, SendOutcome outcome, long nowMillis) {
-        mBoard.ended(backend, SIZE, false, outcome, nowMillis);
+        mBoard.recordOutcome(backend, SIZE, false, outcome, nowMillis);
     }
 
     @Test
@@ -111,7 +111,7 @@
             assertEquals(place(20 + i), Optional.of(other));
         }
         Backend corrected = Backends.of("reborn", "a", BackendStage.DECODE, 2, false);
-        mBoard.changed(corrected.id(), Optional.of(corrected), 1_000);
+        mBoard.applyChange(corrected.id(), Optional.of(corrected), 1_000);
         assertEquals(place(1_010), Optional.of(corrected));
         end(corrected, SendOutcome.MISDIRECTED, 1_020);
         assertEquals(place(1_030), Optional.of(other));
@@ -124,10 +124,10 @@
     public void answersOfOthersShowThatAServerIsAlive() {
         Backend busy = Backends.decode("busy", "a");
         list(busy);
-        assertFalse(mBoard.answeredSince(busy, 0));
-        mBoard.answered(busy, SIZE, 40, 100);
-        assertTrue(mBoard.answeredSince(busy, 100));
-        assertFalse(mBoard.answeredSince(busy, 101));
+        assertFalse(mBoard.respondedSince(busy, 0));
+        mBoard.recordFirstByte(busy, SIZE, 40, 100);
+        assertTrue(mBoard.respondedSince(busy, 100));
+        assertFalse(mBoard.respondedSince(busy, 101));
     }
 
     /** All servers of a service look dead, most often because this host's own links are. */
@@ -158,9 +158,9 @@
         Backend first = Backends.decode("first", "a");
         Backend second = Backends.decode("second", "b");
         list(first, second);
-        mBoard.changed(first.id(), Optional.empty(), 100);
+        mBoard.applyChange(first.id(), Optional.empty(), 100);
         assertEquals(place(110), Optional.of(second));
-        mBoard.changed(second.id(), Optional.empty(), 120);
+        mBoard.applyChange(second.id(), Optional.empty(), 120);
         assertTrue(place(130).isPresent());
         assertTrue(place(120 + BackendDirectory.LAPSED_MILLIS).isEmpty());
     }
@@ -173,7 +173,7 @@
         place(0);
         end(old, SendOutcome.UNKNOWN, 10);
         Backend reborn = Backends.of("one", "a", BackendStage.DECODE, 2, false);
-        mBoard.changed(reborn.id(), Optional.of(reborn), 20);
+        mBoard.applyChange(reborn.id(), Optional.of(reborn), 20);
         assertEquals(place(30), Optional.of(reborn));
     }
 
@@ -183,8 +183,8 @@
         Backend reader = Backends.of("prefill", "a", BackendStage.PREFILL, 1, false);
         list(runner, reader);
         assertEquals(place(0), Optional.of(runner), "a prefill engine runs nothing");
-        assertEquals(mBoard.reader(runner, SIZE, 0), Optional.of(reader));
-        assertEquals(mBoard.reader(runner, WorkSize.PLAIN, 0), Optional.empty());
+        assertEquals(mBoard.selectPrefillEngine(runner, SIZE, 0), Optional.of(reader));
+        assertEquals(mBoard.selectPrefillEngine(runner, WorkSize.PLAIN, 0), Optional.empty());
     }
 
     @Test
@@ -193,8 +193,8 @@
         Backend reader = Backends.of("prefill", "a", BackendStage.PREFILL, 1, false);
         list(runner, reader);
         place(0);
-        assertTrue(mBoard.reader(runner, SIZE, 0).isPresent());
-        Optional<Backend> third = mBoard.reader(runner, SIZE, 0);
+        assertTrue(mBoard.selectPrefillEngine(runner, SIZE, 0).isPresent());
+        Optional<Backend> third = mBoard.selectPrefillEngine(runner, SIZE, 0);
         assertFalse(third.isPresent(), "two prompts wait there, and the runner has none");
     }
 
@@ -232,11 +232,11 @@
         Backend near = Backends.decode("near", "a");
         Backend far = Backends.decode("far", "b");
         list(near, far);
-        mBoard.full(near, 0);
+        mBoard.recordFull(near, 0);
         long unmarked = BackendState.FULL_MILLIS;
         assertEquals(place(unmarked), Optional.of(far));
         end(far, SendOutcome.ABANDONED, unmarked);
-        mBoard.full(far, unmarked);
+        mBoard.recordFull(far, unmarked);
         assertEquals(place(2 * unmarked), Optional.of(near));
         end(near, SendOutcome.ABANDONED, 2 * unmarked);
         assertEquals(place(BackendState.FULL_FADES_MILLIS), Optional.of(near), "faded");
@@ -246,7 +246,7 @@
     public void fullEngineIsNotAskedAgainAtOnce() {
         Backend runner = Backends.decode("decode", "a");
         list(runner);
-        mBoard.full(runner, 0);
+        mBoard.recordFull(runner, 0);
         assertTrue(place(BackendState.FULL_MILLIS - 1).isEmpty());
         assertTrue(place(BackendState.FULL_MILLIS).isPresent());
     }
@@ -260,10 +260,10 @@
         Backend runner = Backends.decode("run", "a");
         Backend reader = Backends.of("prefill", "a", BackendStage.PREFILL, 1, false);
         list(runner, reader);
-        IntStream.range(0, 3).forEach(i -> mBoard.placeAgain(reader, SIZE));
+        IntStream.range(0, 3).forEach(i -> mBoard.recordResend(reader, SIZE));
         place(0);
-        mBoard.reported(runner, running(10), 0);
-        assertEquals(mBoard.reader(runner, SIZE, 0), Optional.of(reader));
+        mBoard.recordReport(runner, running(10), 0);
+        assertEquals(mBoard.selectPrefillEngine(runner, SIZE, 0), Optional.of(reader));
     }
 
     /** The same queue, and nobody at the decode engine who would wait. */
@@ -272,10 +272,10 @@
         Backend runner = Backends.decode("run", "a");
         Backend reader = Backends.of("prefill", "a", BackendStage.PREFILL, 1, false);
         list(runner, reader);
-        IntStream.range(0, 3).forEach(i -> mBoard.placeAgain(reader, SIZE));
+        IntStream.range(0, 3).forEach(i -> mBoard.recordResend(reader, SIZE));
         place(0);
-        mBoard.reported(runner, running(0), 0);
-        assertEquals(mBoard.reader(runner, SIZE, 0), Optional.empty());
+        mBoard.recordReport(runner, running(0), 0);
+        assertEquals(mBoard.selectPrefillEngine(runner, SIZE, 0), Optional.empty());
     }
 
     /** Hosts with many requests at once share one reading of an engine's report. */
@@ -286,7 +286,7 @@
         assertTrue(mBoard.reportDue(engine, 0));
         assertFalse(mBoard.reportDue(engine, BackendState.REPORT_MILLIS - 1));
         assertTrue(mBoard.reportDue(engine, BackendState.REPORT_MILLIS));
-        mBoard.reported(engine, running(1), 500);
+        mBoard.recordReport(engine, running(1), 500);
         assertTrue(mBoard.report(engine, 501).isPresent());
         assertTrue(mBoard.report(engine, 500 + BackendState.REPORT_KEPT_MILLIS).isEmpty());
     }
@@ -296,7 +296,7 @@
                 0,
                 false,
                 IntStream.range(0, runs)
-                        .mapToObj(i -> new EngineReport.Run("q" + i, 6_000, 10))
+                        .mapToObj(i -> new EngineReport.Generation("q" + i, 6_000, 10))
                         .toList());
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/EventTailTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/EventFramerTest.java
@@ -8,21 +8,21 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Tests that {@link EventTail} lets through whole events only. */
-public class EventTailTest {
+/** Tests that {@link EventFramer} lets through whole events only. */
+public class EventFramerTest {
 
-    private static String offer(EventTail tail, String text) {
+    private static String offer(EventFramer tail, String text) {
         return new String(
                 tail.offer(text.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
     }
 
     @Test
     public void halfAnEventIsHeldBack() {
-        EventTail tail = new EventTail(Optional.empty());
+        EventFramer tail = new EventFramer(Optional.empty());
         assertEquals(offer(tail, "id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-        assertEquals(tail.lastId(), Optional.of("1"));
+        assertEquals(tail.lastEventId(), Optional.of("1"));
         assertEquals(offer(tail, "ta: b\n\n"), "id: 2\ndata: b\n\n");
-        assertEquals(tail.lastId(), Optional.of("2"));
+        assertEquals(tail.lastEventId(), Optional.of("2"));
     }
 
     /**
@@ -31,18 +31,18 @@
      */
     @Test
     public void droppedHalfDoesNotReachTheCaller() {
-        EventTail tail = new EventTail(Optional.empty());
+        EventFramer tail = new EventFramer(Optional.empty());
         offer(tail, "id: 1\ndata: a\n\nid: 2\ndata: ha");
-        tail.dropRest();
-        assertEquals(tail.lastId(), Optional.of("1"));
+        tail.discardPartialEvent();
+        assertEquals(tail.lastEventId(), Optional.of("1"));
         assertEquals(offer(tail, "id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
     }
 
     @Test
     public void lineEndsWithCarriageReturnCount() {
-        EventTail tail = new EventTail(Optional.of("9"));
+        EventFramer tail = new EventFramer(Optional.of("9"));
         assertEquals(offer(tail, "data: x\r\n\r\n"), "data: x\r\n\r\n");
-        assertEquals(tail.lastId(), Optional.of("9"));
+        assertEquals(tail.lastEventId(), Optional.of("9"));
     }
 
     @Test
@@ -53,15 +53,15 @@
                         .reduce("", String::concat);
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
         Random random = new Random(3);
-        EventTail tail = new EventTail(Optional.empty());
+        EventFramer tail = new EventFramer(Optional.empty());
         java.io.ByteArrayOutputStream seen = new java.io.ByteArrayOutputStream();
         for (int at = 0; at < bytes.length; ) {
             int end = Math.min(bytes.length, at + 1 + random.nextInt(20));
             seen.writeBytes(tail.offer(java.util.Arrays.copyOfRange(bytes, at, end)));
             at = end;
         }
-        seen.writeBytes(tail.takeRest());
+        seen.writeBytes(tail.takePartialEvent());
         assertEquals(seen.toByteArray(), bytes);
-        assertEquals(tail.lastId(), Optional.of("49"));
+        assertEquals(tail.lastEventId(), Optional.of("49"));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
@@ -20,7 +20,7 @@
     private static final int RUNS = 20_000;
 
     private static RetryPolicy policy(boolean repeatable, int attempts) {
-        return new RetryPolicy(new RetryTerms(repeatable, attempts, PATIENCE), 0);
+        return new RetryPolicy(new RetryLimits(repeatable, attempts, PATIENCE), 0);
     }
 
     /**
@@ -30,61 +30,63 @@
     @Test
     public void bookingThatMayHaveRunIsNeverSentAgain() {
         RetryPolicy policy = policy(false, 3);
-        policy.sending();
-        assertEquals(policy.ended(SendOutcome.UNKNOWN, 10, () -> true), RetryDecision.END);
+        policy.beginSend();
+        assertEquals(policy.endSend(SendOutcome.UNKNOWN, 10, () -> true), RetryDecision.END);
         assertEquals(policy.reply(SendOutcome.UNKNOWN, 10), CallerReply.FAILED);
         RetryPolicy broken = policy(false, 3);
-        broken.sending();
-        broken.ended(SendOutcome.UNKNOWN, 10, () -> true);
-        assertThrows(BrokenInvariantException.class, broken::sending);
+        broken.beginSend();
+        broken.endSend(SendOutcome.UNKNOWN, 10, () -> true);
+        assertThrows(BrokenInvariantException.class, broken::beginSend);
     }
 
     @Test
     public void rejectedBookingGoesToAnotherServerWithinItsAttempts() {
         RetryPolicy policy = policy(false, 2);
-        policy.sending();
-        assertEquals(policy.ended(SendOutcome.REJECTED, 10, () -> true), RetryDecision.SEND_AGAIN);
-        policy.sending();
-        assertEquals(policy.ended(SendOutcome.REJECTED, 20, () -> true), RetryDecision.END);
+        policy.beginSend();
+        assertEquals(
+                policy.endSend(SendOutcome.REJECTED, 10, () -> true), RetryDecision.SEND_AGAIN);
+        policy.beginSend();
+        assertEquals(policy.endSend(SendOutcome.REJECTED, 20, () -> true), RetryDecision.END);
         assertEquals(policy.reply(SendOutcome.REJECTED, 20), CallerReply.NOT_RUN);
     }
 
     @Test
     public void repeatNeedsTheSharedBudgetUnlessNothingWasSent() {
         RetryPolicy rejected = policy(true, 3);
-        rejected.sending();
-        assertEquals(rejected.ended(SendOutcome.REJECTED, 10, () -> false), RetryDecision.END);
+        rejected.beginSend();
+        assertEquals(rejected.endSend(SendOutcome.REJECTED, 10, () -> false), RetryDecision.END);
         RetryPolicy unsent = policy(true, 3);
-        unsent.sending();
-        assertEquals(unsent.ended(SendOutcome.NOT_SENT, 10, () -> false), RetryDecision.SEND_AGAIN);
+        unsent.beginSend();
+        assertEquals(
+                unsent.endSend(SendOutcome.NOT_SENT, 10, () -> false), RetryDecision.SEND_AGAIN);
         assertEquals(unsent.sends(), 0);
     }
 
     @Test
     public void goingOnWhereItRanUsesNoAttemptAndMayHaveRun() {
         RetryPolicy policy = policy(true, 1);
-        policy.sending();
-        assertTrue(policy.mayGoOnHere(10));
-        assertFalse(policy.goingOnHere(() -> false));
-        assertTrue(policy.goingOnHere(() -> true));
-        assertTrue(policy.goingOnHere(() -> true));
-        assertFalse(policy.mayGoOnHere(20), "a server that breaks again and again");
+        policy.beginSend();
+        assertTrue(policy.mayResumeOnSameBackend(10));
+        assertFalse(policy.resumeOnSameBackend(() -> false));
+        assertTrue(policy.resumeOnSameBackend(() -> true));
+        assertTrue(policy.resumeOnSameBackend(() -> true));
+        assertFalse(policy.mayResumeOnSameBackend(20), "a server that breaks again and again");
         assertEquals(policy.sends(), 1);
-        assertEquals(policy.ended(SendOutcome.REJECTED, 30, () -> true), RetryDecision.END);
+        assertEquals(policy.endSend(SendOutcome.REJECTED, 30, () -> true), RetryDecision.END);
         assertEquals(policy.reply(SendOutcome.REJECTED, 30), CallerReply.FAILED);
     }
 
     @Test
     public void bookingNeverGoesOnWhereItMayHaveRun() {
         RetryPolicy policy = policy(false, 3);
-        policy.sending();
-        assertFalse(policy.mayGoOnHere(10));
+        policy.beginSend();
+        assertFalse(policy.mayResumeOnSameBackend(10));
     }
 
     @Test
     public void answerIsTimedOutOnlyIfItMayHaveRun() {
         RetryPolicy sent = policy(true, 1);
-        sent.sending();
+        sent.beginSend();
         assertEquals(sent.reply(SendOutcome.UNKNOWN, PATIENCE), CallerReply.TIMED_OUT);
         assertEquals(policy(true, 1).reply(SendOutcome.NOT_SENT, PATIENCE), CallerReply.NOT_RUN);
     }
@@ -92,18 +94,18 @@
     @Test
     public void failureAfterTheFirstEventIsNotPassedOn() {
         RetryPolicy policy = policy(true, 2);
-        policy.sending();
-        policy.forwarding();
-        assertEquals(policy.ended(SendOutcome.UNKNOWN, 10, () -> true), RetryDecision.SEND_AGAIN);
-        policy.sending();
-        assertEquals(policy.ended(SendOutcome.FAILED, 20, () -> true), RetryDecision.END);
+        policy.beginSend();
+        policy.beginForwarding();
+        assertEquals(policy.endSend(SendOutcome.UNKNOWN, 10, () -> true), RetryDecision.SEND_AGAIN);
+        policy.beginSend();
+        assertEquals(policy.endSend(SendOutcome.FAILED, 20, () -> true), RetryDecision.END);
     }
 
     @Test
     public void serversOwnFailureIsPassedOnWhenNoAttemptIsLeft() {
         RetryPolicy policy = policy(false, 1);
-        policy.sending();
-        assertEquals(policy.ended(SendOutcome.FAILED, 10, () -> true), RetryDecision.PASS_ON);
+        policy.beginSend();
+        assertEquals(policy.endSend(SendOutcome.FAILED, 10, () -> true), RetryDecision.PASS_ON);
     }
 
     /**
@@ -127,17 +129,17 @@
         while (next == RetryDecision.SEND_AGAIN) {
             boolean mayHaveRun = sends.stream().anyMatch(SendOutcome::mayHaveRun);
             assertTrue(repeatable || !mayHaveRun, "sent again after " + sends);
-            policy.sending();
-            while (policy.mayGoOnHere(now) && random.nextBoolean()) {
+            policy.beginSend();
+            while (policy.mayResumeOnSameBackend(now) && random.nextBoolean()) {
                 assertTrue(repeatable, "goes on where it ran, though it must not repeat");
-                if (policy.goingOnHere(random::nextBoolean)) {
+                if (policy.resumeOnSameBackend(random::nextBoolean)) {
                     sends.add(SendOutcome.UNKNOWN);
                 }
             }
             SendOutcome outcome = SendOutcome.values()[random.nextInt(SendOutcome.values().length)];
             sends.add(outcome);
             now += random.nextInt(400);
-            next = policy.ended(outcome, now, random::nextBoolean);
+            next = policy.endSend(outcome, now, random::nextBoolean);
             assertTrue(policy.sends() <= attempts);
             assertTrue(
                     sends.size()
@@ -150,7 +152,7 @@
             assertEquals(reply == CallerReply.NOT_RUN, !mayHaveRun, "told after " + sends);
         } else {
             SendOutcome last = sends.get(sends.size() - 1);
-            assertTrue(last.serverAnswered(), "passed on after " + last);
+            assertTrue(last.serverResponded(), "passed on after " + last);
         }
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.relay.backend.Backend;
 import org.cyclamenpaddle.relay.backend.BackendStage;
-import org.cyclamenpaddle.relay.route.EngineShape;
+import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.testng.annotations.Test;
 
 /**
@@ -24,16 +24,17 @@
  */
 public class RoleAllocationTest {
 
-    private static final EngineShape LARGE_POOL =
-            new EngineShape(64, 53_697, 500, 2_000, 13, 6_000);
-    private static final EngineShape SMALL_POOL = new EngineShape(64, 65_717, 500, 2_000, 8, 6_000);
+    private static final EngineProfile LARGE_POOL =
+            new EngineProfile(64, 53_697, 500, 2_000, 13, 6_000);
+    private static final EngineProfile SMALL_POOL =
+            new EngineProfile(64, 65_717, 500, 2_000, 8, 6_000);
 
     private static final double TOKENS_READ_PER_MILLI = 55;
 
     private final RoleAllocation mPlan = new RoleAllocation();
 
     private static Optional<EngineLoad> load(
-            double output, double decodeMillis, EngineShape shape) {
+            double output, double decodeMillis, EngineProfile shape) {
         Demand demand = new Demand(5_200, output, decodeMillis);
         return Optional.of(EngineLoad.of(demand, shape, TOKENS_READ_PER_MILLI));
     }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
@@ -83,22 +83,22 @@
     private EntryListener<String> listener() {
         return new EntryListener<>() {
             @Override
-            public void listed(List<Entry<String>> entries) {
+            public void onListing(List<Entry<String>> entries) {
                 mTold.add("listed " + entries.size());
             }
 
             @Override
-            public void changed(Entry<String> entry) {
+            public void onChange(Entry<String> entry) {
                 mTold.add("changed " + entry.name());
             }
 
             @Override
-            public void contactLost(StoreFailure failure) {
+            public void onStoreUnavailable(StoreFailure failure) {
                 mTold.add("lost " + failure);
             }
 
             @Override
-            public void contactRegained(long awayMillis) {
+            public void onStoreAvailable(long awayMillis) {
                 mTold.add("regained");
             }
         };
