--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
@@ -5,18 +5,18 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * A backend server as its entry in the store describes it.
+ * Describes a backend server according to its entry in the store.
  *
- * @param id names one start of the server
- * @param startedMillis wall clock time of its start as it says itself; tells two lives of one id
- *     apart
+ * @param id identifies one start of the server
+ * @param startedMillis wall clock time at which the server says it started; distinguishes two
+ *     incarnations with the same id
  * @param service the service
- * @param address IP number
+ * @param address IP address
  * @param port TCP port
  * @param domain its failure domain
- * @param stage what it takes
- * @param slots requests that it runs at once
- * @param draining whether it has announced its end
+ * @param stage stage that the server performs
+ * @param slots maximum number of concurrent requests
+ * @param draining whether the server has announced its shutdown
  */
 public record Backend(
         BackendId id,
@@ -33,7 +33,8 @@
 
     public Backend {
         if (id == null || service == null || address == null || domain == null || stage == null) {
-            throw new IllegalArgumentException("backend server lacks a field");
+            throw new IllegalArgumentException(
+                    "backend server needs an id, service, address, domain and stage");
         }
         if (port < 1 || port > MAX_PORT || slots < 1) {
             throw new IllegalArgumentException(
@@ -41,18 +42,18 @@
         }
     }
 
-    /** Returns whether this entry and another describe the same life of the same server. */
+    /** Returns whether this entry and another describe the same incarnation of a server. */
     public boolean sameIncarnation(Backend other) {
         return id.equals(other.id) && startedMillis == other.startedMillis;
     }
 
-    /** Returns this entry with another stage. */
+    /** Returns a copy of this entry with another stage. */
     public Backend withStage(BackendStage other) {
         return new Backend(
                 id, startedMillis, service, address, port, domain, other, slots, draining);
     }
 
-    /** Returns the address with its port. */
+    /** Returns the address and port, separated by a colon. */
     public String endpoint() {
         return address + ":" + port;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendDirectory.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendDirectory.java
@@ -10,81 +10,84 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * The backend servers that the store names, and those that it has just stopped naming.
+ * Holds the backend server entries in the store, and those that have recently disappeared from it.
  *
  * <p>Not thread-safe.
  */
 public final class BackendDirectory {
 
     /**
-     * How long an entry that has gone is kept as a last resort, in milliseconds.
+     * Time for which a removed entry stays available as a fallback, in milliseconds.
      *
-     * <p>Safeguard: while the store is away the entries of living servers can lapse, and all of
-     * them vanish in one moment when it is back. Callers would be refused though every server is
-     * up. Lapsed entries are back within two seconds. A server that really left is given nothing as
-     * long as its service has another one, so that this keeps no leaving server busy.
+     * <p>Safeguard: while the store is unavailable, the entries of running servers can expire, and
+     * all of them disappear at once when the store recovers. Requests would then be rejected
+     * although every server is up. Running servers register again within two seconds. A lapsed
+     * entry is used only if its service has no other server, so a server that has really stopped
+     * receives no requests while its service has another one.
      */
-    public static final long LAPSED_MILLIS = 2_000;
+    public static final long LAPSED_RETENTION_MILLIS = 2_000;
 
-    private record Gone(Backend backend, long untilMillis) {}
+    private record LapsedEntry(Backend backend, long untilMillis) {}
 
-    private final Map<BackendId, Backend> mNamed = new HashMap<>();
-    private final Map<BackendId, Gone> mGone = new HashMap<>();
+    private final Map<BackendId, Backend> mEntries = new HashMap<>();
+    private final Map<BackendId, LapsedEntry> mLapsed = new HashMap<>();
 
     /**
-     * Takes in a whole listing.
+     * Replaces all entries with a complete listing.
      *
-     * @param listed every entry that could be read, by its name
-     * @param nowMillis reading of the clock
+     * @param listed all readable entries by id
+     * @param nowMillis current time of the steady clock
      */
-    public void listed(Map<BackendId, Backend> listed, long nowMillis) {
-        Set<BackendId> missing = new HashSet<>(mNamed.keySet());
+    public void applyListing(Map<BackendId, Backend> listed, long nowMillis) {
+        Set<BackendId> missing = new HashSet<>(mEntries.keySet());
         missing.removeAll(listed.keySet());
-        missing.forEach(id -> changed(id, Optional.empty(), nowMillis));
-        listed.forEach((id, backend) -> changed(id, Optional.of(backend), nowMillis));
+        missing.forEach(id -> applyChange(id, Optional.empty(), nowMillis));
+        listed.forEach((id, backend) -> applyChange(id, Optional.of(backend), nowMillis));
     }
 
     /**
-     * Takes in one changed entry.
+     * Applies a change of one entry.
      *
-     * @param id its name
+     * @param id id of the entry
      * @param entry the entry; empty if it was removed or cannot be read
-     * @param nowMillis reading of the clock
+     * @param nowMillis current time of the steady clock
      */
-    public void changed(BackendId id, Optional<Backend> entry, long nowMillis) {
+    public void applyChange(BackendId id, Optional<Backend> entry, long nowMillis) {
         if (entry.isPresent()) {
-            mNamed.put(id, entry.get());
-            mGone.remove(id);
+            mEntries.put(id, entry.get());
+            mLapsed.remove(id);
             return;
         }
-        Backend old = mNamed.remove(id);
+        Backend old = mEntries.remove(id);
         if (old != null && !old.draining()) {
-            mGone.put(id, new Gone(old, nowMillis + LAPSED_MILLIS));
+            mLapsed.put(id, new LapsedEntry(old, nowMillis + LAPSED_RETENTION_MILLIS));
         }
     }
 
-    /** Returns the servers of a service that may be given new work. */
+    /** Returns the servers of a service that accept new requests. */
     public Stream<Backend> usable(ServiceName service) {
-        return mNamed.values().stream()
+        return mEntries.values().stream()
                 .filter(backend -> backend.service().equals(service))
                 .filter(backend -> !backend.draining());
     }
 
-    /** Returns the servers of a service whose entries have just gone without an announcement. */
+    /**
+     * Returns the servers of a service whose entries lapsed recently without being drained first.
+     */
     public Stream<Backend> lapsed(ServiceName service, long nowMillis) {
-        mGone.values().removeIf(gone -> gone.untilMillis() <= nowMillis);
-        return mGone.values().stream()
-                .map(Gone::backend)
+        mLapsed.values().removeIf(lapsed -> lapsed.untilMillis() <= nowMillis);
+        return mLapsed.values().stream()
+                .map(LapsedEntry::backend)
                 .filter(backend -> backend.service().equals(service));
     }
 
-    /** Returns the number of servers named now, leaving ones included. */
+    /** Returns the number of current entries, including draining servers. */
     public int size() {
-        return mNamed.size();
+        return mEntries.size();
     }
 
-    /** Returns the entry of a server that is named now. */
+    /** Returns the current entry of a server. */
     public Optional<Backend> find(BackendId id) {
-        return Optional.ofNullable(mNamed.get(id));
+        return Optional.ofNullable(mEntries.get(id));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendHealth.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendHealth.java
@@ -1,88 +1,93 @@
 package org.cyclamenpaddle.relay.backend;
 
 /**
- * What the outcomes of this host's own sends say about one backend server.
+ * Tracks the health of one backend server from the outcomes of this host's own sends.
  *
- * <p>Two signs are kept apart. A server that cannot be reached or breaks off is left out at once
- * for a time that doubles, then gets one trial request. A server that answers, but fails or rejects
- * more than others do, only becomes less attractive: its failures may be the requests' own. Not
- * thread-safe.
+ * <p>Two signals are separate. A server that cannot be reached or breaks a connection is ejected
+ * immediately for a time that doubles with each ejection, then receives one probe request. A server
+ * that responds, but fails or rejects more often than others, only gets a higher cost, because the
+ * failures may be caused by the requests themselves. Not thread-safe.
  */
 final class BackendHealth {
 
-    /** First time out, in milliseconds: a few round trips longer than a restart of a connection. */
-    static final long FIRST_EJECTION_MILLIS = 500;
+    /**
+     * Duration of the first ejection, in milliseconds; a few round trips longer than a reconnect.
+     */
+    static final long BASE_EJECTION_MILLIS = 500;
 
-    /** Longest time out, in milliseconds; a crashed server is back after some seconds. */
-    static final long LONGEST_EJECTION_MILLIS = 4_000;
+    /** Maximum ejection duration, in milliseconds; a crashed server is back after some seconds. */
+    static final long MAX_EJECTION_MILLIS = 4_000;
 
     /**
-     * Silences in a row that make a server suspect.
+     * Consecutive timeouts after which a server is ejected.
      *
-     * <p>Safeguard: the time that a request had may have been shorter than its work takes. A route
-     * with such a timeout would otherwise keep good servers out for all others.
+     * <p>Safeguard: the timeout of a request may be shorter than its work takes. Without this
+     * threshold a route with such a timeout would eject healthy servers for all other routes.
      */
-    static final int SILENCES = 2;
+    static final int CONSECUTIVE_TIMEOUTS_TO_EJECT = 2;
 
     /** Weight of the newest outcome in the failure rate; about the last ten outcomes count. */
     private static final double NEWEST_WEIGHT = 0.1;
 
-    /** Time after which half of a bad rate is forgotten, in milliseconds. */
+    /** Half-life of the failure rate, in milliseconds. */
     private static final double HALF_LIFE_MILLIS = 5_000;
 
-    private int mSilences;
-    private int mSuspicions;
+    private int mConsecutiveTimeouts;
+    private int mConsecutiveEjections;
     private long mEjectedUntilMillis = Long.MIN_VALUE;
-    private boolean mTrialRunning;
-    private final MovingAverage mFailures = new MovingAverage(NEWEST_WEIGHT, HALF_LIFE_MILLIS);
+    private boolean mProbeInFlight;
+    private final MovingAverage mFailureRate = new MovingAverage(NEWEST_WEIGHT, HALF_LIFE_MILLIS);
 
-    /** Returns whether new work may go to the server now, a trial included. */
+    /** Returns whether the server may receive a new request now, including a probe. */
     boolean admits(long nowMillis) {
-        return mSuspicions == 0 || nowMillis >= mEjectedUntilMillis && !mTrialRunning;
+        return mConsecutiveEjections == 0 || nowMillis >= mEjectedUntilMillis && !mProbeInFlight;
     }
 
-    /** Notes a send, which is the trial if the server was ejected. */
-    void sent() {
-        mTrialRunning = mSuspicions > 0;
+    /** Records a send; it is the probe if the server was ejected. */
+    void recordSend() {
+        mProbeInFlight = mConsecutiveEjections > 0;
     }
 
     /**
-     * Notes the outcome of a send.
+     * Records the outcome of a send.
      *
-     * @return whether the server was ejected by it
+     * @return whether the outcome ejected the server
      */
-    boolean ended(SendOutcome outcome, long nowMillis) {
-        mTrialRunning = false;
+    boolean recordOutcome(SendOutcome outcome, long nowMillis) {
+        mProbeInFlight = false;
         if (outcome == SendOutcome.ABANDONED) {
             return false;
         }
         if (outcome == SendOutcome.SILENT) {
-            mSilences++;
-            return mSilences >= SILENCES && eject(nowMillis);
+            mConsecutiveTimeouts++;
+            return mConsecutiveTimeouts >= CONSECUTIVE_TIMEOUTS_TO_EJECT && eject(nowMillis);
         }
-        mSilences = 0;
-        mFailures.add(outcome == SendOutcome.SUCCEEDED ? 0 : 1, nowMillis);
+        mConsecutiveTimeouts = 0;
+        mFailureRate.add(outcome == SendOutcome.SUCCEEDED ? 0 : 1, nowMillis);
         if (!outcome.serverSuspect()) {
-            mSuspicions = 0;
+            mConsecutiveEjections = 0;
             return false;
         }
         return eject(nowMillis);
     }
 
-    /** Returns the share of recent sends that did not succeed, faded by the time since. */
+    /**
+     * Returns the share of recent sends that did not succeed, decayed by the time since the last
+     * one.
+     */
     double failureRate(long nowMillis) {
-        return mFailures.at(nowMillis);
+        return mFailureRate.value(nowMillis);
     }
 
-    /** Leaves the server out for a time, for a fault that its answers did not show. */
-    void suspect(long nowMillis) {
+    /** Ejects the server for a fault that its responses did not show. */
+    void recordSuspicion(long nowMillis) {
         eject(nowMillis);
     }
 
-    /** Ends the suspicion against a server that has just answered. */
-    void alive() {
-        mSuspicions = 0;
-        mSilences = 0;
+    /** Ends the ejection of a server that has just responded. */
+    void recordAlive() {
+        mConsecutiveEjections = 0;
+        mConsecutiveTimeouts = 0;
         mEjectedUntilMillis = Long.MIN_VALUE;
     }
 
@@ -92,8 +97,9 @@
         }
         long millis =
                 Math.min(
-                        LONGEST_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(mSuspicions, 8));
-        mSuspicions++;
+                        MAX_EJECTION_MILLIS,
+                        BASE_EJECTION_MILLIS << Math.min(mConsecutiveEjections, 8));
+        mConsecutiveEjections++;
         mEjectedUntilMillis = nowMillis + millis;
         return true;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendRegistry.java
@@ -16,10 +16,11 @@
 import org.cyclamenpaddle.core.table.TableOrder;
 
 /**
- * Blackboard of the backend servers: entries, own open work, outcomes, and the choice among them.
+ * Registry of the backend servers: their entries, this host's in-flight work and results per
+ * server, and the selection among them.
  *
- * <p>Safe for use by many threads; choosing a server and noting the work on it is one step, so that
- * two requests never both see the same last free place.
+ * <p>Thread-safe. Selecting a server and recording the work on it is one atomic step, so that two
+ * concurrent requests cannot both claim the same last free capacity.
  */
 public final class BackendRegistry {
 
@@ -27,33 +28,35 @@
         private final BackendDirectory mDirectory = new BackendDirectory();
         private final Map<BackendId, BackendState> mStates = new HashMap<>();
 
-        private final Map<FailureDomain, DomainConnectivity> mReach = new HashMap<>();
-        private final Map<ServiceName, PrefillThroughput> mSpeeds = new HashMap<>();
+        private final Map<FailureDomain, DomainConnectivity> mConnectivity = new HashMap<>();
+        private final Map<ServiceName, PrefillThroughput> mThroughputs = new HashMap<>();
 
-        private PrefillThroughput speed(ServiceName service) {
-            return mSpeeds.computeIfAbsent(service, any -> new PrefillThroughput());
+        private PrefillThroughput throughput(ServiceName service) {
+            return mThroughputs.computeIfAbsent(service, key -> new PrefillThroughput());
         }
 
-        private DomainConnectivity reach(Backend backend) {
-            return mReach.computeIfAbsent(backend.domain(), domain -> new DomainConnectivity());
+        private DomainConnectivity connectivity(Backend backend) {
+            return mConnectivity.computeIfAbsent(
+                    backend.domain(), domain -> new DomainConnectivity());
         }
 
         private boolean admits(Backend backend, long nowMillis) {
-            return of(backend).health().admits(nowMillis) && reach(backend).admits(nowMillis);
+            return stateOf(backend).health().admits(nowMillis)
+                    && connectivity(backend).admits(nowMillis);
         }
 
-        private void started(Backend backend, WorkSize size, long nowMillis) {
-            of(backend).started(size);
-            reach(backend).sent(nowMillis);
+        private void recordStart(Backend backend, WorkSize size, long nowMillis) {
+            stateOf(backend).recordStart(size);
+            connectivity(backend).recordSend(nowMillis);
         }
 
-        private BackendState of(Backend backend) {
+        private BackendState stateOf(Backend backend) {
             return mStates.compute(
                     backend.id(),
                     (id, old) ->
-                            // A server born anew holds nothing of before: its open work, its
-                            // failures and its waits are those of another life.
-                            old == null || old.bornMillis() != backend.startedMillis()
+                            // A restarted server begins with fresh state: the in-flight work,
+                            // failures and waits of its previous incarnation do not apply.
+                            old == null || old.startedMillis() != backend.startedMillis()
                                     ? new BackendState(backend.startedMillis())
                                     : old);
         }
@@ -65,11 +68,11 @@
     private final Table<State> mTable = new Table<>(TableOrder.BACKENDS, new State());
 
     /**
-     * Creates an empty board.
+     * Creates an empty registry.
      *
      * @param ownDomain failure domain of this host
-     * @param costs weights of the comparison
-     * @param random even draws from 0 to 1, to break ties
+     * @param costs weights of the cost comparison
+     * @param random uniformly distributed values from 0 to 1, used to break ties
      */
     public BackendRegistry(FailureDomain ownDomain, CostSettings costs, DoubleSupplier random) {
         mOwnDomain = ownDomain;
@@ -77,271 +80,302 @@
         mRandom = random;
     }
 
-    /** Takes in a whole listing; see {@link BackendDirectory#onListing}. */
+    /** Replaces all entries with a complete listing; see {@link BackendDirectory#applyListing}. */
     public void applyListing(Map<BackendId, Backend> listed, long nowMillis) {
         mTable.write(
                 state -> {
-                    state.mDirectory.listed(listed, nowMillis);
+                    state.mDirectory.applyListing(listed, nowMillis);
                     state.mStates.keySet().removeIf(id -> unused(state, id));
                 });
     }
 
-    /** Takes in a changed entry; see {@link BackendDirectory#onChange}. */
+    /** Applies a change of one entry; see {@link BackendDirectory#applyChange}. */
     public void applyChange(BackendId id, Optional<Backend> entry, long nowMillis) {
-        mTable.write(state -> state.mDirectory.changed(id, entry, nowMillis));
+        mTable.write(state -> state.mDirectory.applyChange(id, entry, nowMillis));
     }
 
-    /** Returns the servers of a service that may be given new work. */
+    /** Returns the servers of a service that accept new requests. */
     public List<Backend> usable(ServiceName service) {
         return mTable.read(state -> state.mDirectory.usable(service).toList());
     }
 
-    /** Returns the number of servers that the store names. */
+    /** Returns the number of servers in the store. */
     public int size() {
         return mTable.read(state -> state.mDirectory.size());
     }
 
     /**
-     * Chooses the server that runs a request and notes its work there.
+     * Selects the server that runs a request and records its work there.
      *
-     * @param service its service
-     * @param size its work
-     * @param avoid servers that were already tried
-     * @param nowMillis reading of the clock
-     * @return empty if the service has no server that could take it now
+     * @param service service of the request
+     * @param size size of its work
+     * @param avoid servers that have already been tried
+     * @param nowMillis current time of the steady clock
+     * @return the server; empty if no server of the service can accept the request now
      */
     public Optional<Backend> select(
             ServiceName service, WorkSize size, Set<BackendId> avoid, long nowMillis) {
         return mTable.read(
                 state -> {
-                    List<Backend> runners =
+                    List<Backend> engines =
                             candidates(state, service, avoid, nowMillis)
                                     .filter(backend -> backend.stage().completesRequests())
-                                    .filter(backend -> !state.of(backend).isFull(nowMillis))
+                                    .filter(backend -> !state.stateOf(backend).isFull(nowMillis))
                                     .filter(
-                                            runner ->
-                                                    !state.of(runner).isOutdated(runner, nowMillis))
+                                            backend ->
+                                                    !state.stateOf(backend)
+                                                            .isOutdated(backend, nowMillis))
                                     .toList();
                     Optional<Backend> chosen =
-                            best(runners, runner -> runCost(state, runner, nowMillis));
-                    chosen.ifPresent(runner -> state.started(runner, size, nowMillis));
+                            cheapest(engines, backend -> requestCost(state, backend, nowMillis));
+                    chosen.ifPresent(backend -> state.recordStart(backend, size, nowMillis));
                     return chosen;
                 });
     }
 
     /**
-     * Chooses a prefill engine for a request that has a place at a decode engine, where reading
-     * there and handing over beats reading in place, and notes the work on it.
+     * Selects a prefill engine for a request that holds a reservation at a decode engine, if remote
+     * prefill with a KV transfer costs less than local prefill at the decode engine, and records
+     * the work on it.
      *
-     * @param runner decode engine of the request
-     * @param size its work
-     * @param nowMillis reading of the clock
+     * @param decodeEngine decode engine of the request
+     * @param size size of its work
+     * @param nowMillis current time of the steady clock
+     * @return the prefill engine; empty if the decode engine should prefill locally
      */
-    public Optional<Backend> selectPrefillEngine(Backend runner, WorkSize size, long nowMillis) {
-        if (runner.stage() != BackendStage.DECODE || size.promptTokens() == 0) {
+    public Optional<Backend> selectPrefillEngine(
+            Backend decodeEngine, WorkSize size, long nowMillis) {
+        if (decodeEngine.stage() != BackendStage.DECODE || size.promptTokens() == 0) {
             return Optional.empty();
         }
         return mTable.read(
                 state -> {
-                    Optional<Backend> chosen = cheapestReader(state, runner, size, nowMillis);
+                    Optional<Backend> chosen =
+                            cheapestPrefillEngine(state, decodeEngine, size, nowMillis);
                     chosen.ifPresent(
-                            reader -> {
-                                state.started(reader, size, nowMillis);
-                                // Read elsewhere, it keeps no other prompt waiting at the runner.
-                                state.of(runner).open().promptRead(size);
+                            prefillEngine -> {
+                                state.recordStart(prefillEngine, size, nowMillis);
+                                // Prefilled remotely, it delays no other prompt at the decode
+                                // engine.
+                                state.stateOf(decodeEngine).openWork().recordPrefillDone(size);
                             });
                     return chosen;
                 });
     }
 
-    /** Notes the work of a request once more on a server that it is sent to again. */
+    /** Records the work of a request again on a server to which it is sent once more. */
     public void recordResend(Backend backend, WorkSize size) {
-        mTable.write(state -> state.of(backend).started(size));
+        mTable.write(state -> state.stateOf(backend).recordStart(size));
     }
 
-    /** Notes that a prefill engine did not keep what it had read. */
-    public void recordPrefillResultLost(Backend reader, long nowMillis) {
-        mTable.write(state -> state.of(reader).health().suspect(nowMillis));
+    /** Records that a prefill engine lost the result of a prefill. */
+    public void recordPrefillResultLost(Backend prefillEngine, long nowMillis) {
+        mTable.write(state -> state.stateOf(prefillEngine).health().recordSuspicion(nowMillis));
     }
 
-    /** Notes that a server that looked dead has answered. */
+    /** Records that an apparently failed server has responded. */
     public void recordAlive(Backend backend) {
         mTable.write(
                 state -> {
-                    state.of(backend).health().alive();
-                    state.reach(backend).answered();
+                    state.stateOf(backend).health().recordAlive();
+                    state.connectivity(backend).recordResponse();
                 });
     }
 
-    /** Notes that a server has no room for a request of usual size at this moment. */
+    /** Records that a server currently has no capacity for a request of typical size. */
     public void recordFull(Backend backend, long nowMillis) {
         mTable.write(
                 state -> {
-                    state.of(backend).full(nowMillis);
-                    state.reach(backend).answered();
+                    state.stateOf(backend).recordFull(nowMillis);
+                    state.connectivity(backend).recordResponse();
                 });
     }
 
     /**
-     * Notes that a server turned a request away for which it had kept a place.
+     * Records that a server rejected a request for which it had granted a reservation.
      *
-     * <p>Safeguard: an engine that changes its stage goes on keeping places for seconds and turns
-     * away each request that follows, whose prompt has been read for nothing. It is left out until
-     * its entry changes, or for some seconds.
+     * <p>Safeguard: an engine that changes its stage continues to grant reservations for seconds,
+     * but rejects every request that follows, and the prefill of that request is wasted. The server
+     * is excluded until its entry changes, or for a few seconds.
      */
     public void recordOutdated(Backend backend, long nowMillis) {
-        mTable.write(state -> state.of(backend).outdated(backend, nowMillis));
+        mTable.write(state -> state.stateOf(backend).recordOutdated(backend, nowMillis));
     }
 
-    /** Returns the prompt tokens that a service's prefill engines read in a millisecond. */
+    /**
+     * Returns the prefill throughput of a service's prefill engines, in prompt tokens per
+     * millisecond.
+     */
     public double prefillTokensPerMilli(ServiceName service) {
-        return mTable.read(state -> state.speed(service).tokensPerMilli());
+        return mTable.read(state -> state.throughput(service).tokensPerMilli());
     }
 
-    /** Returns whether a server's report should be read again; if so it counts as being read. */
+    /** Returns whether a server's report should be fetched; if so, marks the fetch as started. */
     public boolean reportDue(Backend backend, long nowMillis) {
-        return mTable.read(state -> state.of(backend).reportDue(nowMillis));
+        return mTable.read(state -> state.stateOf(backend).reportDue(nowMillis));
     }
 
-    /** Takes in a server's report. */
+    /** Stores a server's report. */
     public void recordReport(Backend backend, EngineReport report, long nowMillis) {
-        mTable.write(state -> state.of(backend).reported(report, nowMillis));
+        mTable.write(state -> state.stateOf(backend).recordReport(report, nowMillis));
     }
 
-    /** Returns a server's last report; empty if there is none of late. */
+    /** Returns a server's last report; empty if there is none or it is too old. */
     public Optional<TimedReport> report(Backend backend, long nowMillis) {
-        return mTable.read(state -> state.of(backend).report(nowMillis));
+        return mTable.read(state -> state.stateOf(backend).report(nowMillis));
     }
 
-    /** Notes that a server has read a prompt. */
+    /** Records that a server has completed the prefill of a prompt. */
     public void recordPrefillDone(Backend backend, WorkSize size) {
-        mTable.write(state -> state.of(backend).open().promptRead(size));
+        mTable.write(state -> state.stateOf(backend).openWork().recordPrefillDone(size));
     }
 
     /**
-     * Notes when the first byte of an answer came.
+     * Records the arrival of the first byte of a response.
      *
      * @param backend the server
-     * @param size the work
-     * @param waitedMillis time since the send
-     * @param nowMillis reading of the clock
+     * @param size size of the work
+     * @param waitedMillis time since the request was sent, in milliseconds
+     * @param nowMillis current time of the steady clock
      */
     public void recordFirstByte(Backend backend, WorkSize size, long waitedMillis, long nowMillis) {
         mTable.write(
                 state -> {
                     if (backend.stage() == BackendStage.PREFILL) {
-                        state.speed(backend.service()).read(size.promptTokens(), waitedMillis);
+                        state.throughput(backend.service()).add(size.promptTokens(), waitedMillis);
                     }
-                    double explained = readMillis(state, backend, size.promptTokens());
-                    state.of(backend).waited(waitedMillis - explained, nowMillis);
-                    state.reach(backend).answered();
+                    double expectedMillis = prefillMillis(state, backend, size.promptTokens());
+                    state.stateOf(backend)
+                            .recordExcessWait(waitedMillis - expectedMillis, nowMillis);
+                    state.connectivity(backend).recordResponse();
                 });
     }
 
-    /** Returns whether a server has answered some request of this host since a moment. */
+    /** Returns whether a server has responded to any request of this host since the given time. */
     public boolean respondedSince(Backend backend, long millis) {
-        return mTable.read(state -> state.of(backend).answeredSince(millis));
+        return mTable.read(state -> state.stateOf(backend).respondedSince(millis));
     }
 
     /**
-     * Takes work off a server.
+     * Removes the work of a completed send from a server and records its outcome.
      *
      * @param backend the server
-     * @param size the work
-     * @param promptRead whether {@link #recordPrefillDone} was noted for it
-     * @param outcome what became of it
-     * @param nowMillis reading of the clock
-     * @return whether the server is left out for a time from now on
+     * @param size size of the work
+     * @param prefillDone whether {@link #recordPrefillDone} was called for it
+     * @param outcome outcome of the send
+     * @param nowMillis current time of the steady clock
+     * @return whether the outcome ejected the server
      */
     public boolean recordOutcome(
             Backend backend,
             WorkSize size,
-            boolean promptRead,
+            boolean prefillDone,
             SendOutcome outcome,
             long nowMillis) {
         return mTable.read(
                 state -> {
-                    BackendState known = state.of(backend);
-                    known.open().ended(size, promptRead);
+                    BackendState backendState = state.stateOf(backend);
+                    backendState.openWork().recordEnd(size, prefillDone);
                     if (outcome == SendOutcome.MISDIRECTED) {
-                        known.outdated(backend, nowMillis);
+                        backendState.recordOutdated(backend, nowMillis);
                     }
-                    state.reach(backend).ended(backend.id(), outcome, nowMillis);
-                    return known.health().ended(outcome, nowMillis);
+                    state.connectivity(backend).recordOutcome(backend.id(), outcome, nowMillis);
+                    return backendState.health().recordOutcome(outcome, nowMillis);
                 });
     }
 
     private Stream<Backend> candidates(
             State state, ServiceName service, Set<BackendId> avoid, long nowMillis) {
-        List<Backend> named = except(state.mDirectory.usable(service), avoid);
+        List<Backend> usable = excluding(state.mDirectory.usable(service), avoid);
         List<Backend> admitted =
-                named.stream().filter(backend -> state.admits(backend, nowMillis)).toList();
-        boolean runs = admitted.stream().anyMatch(backend -> backend.stage().completesRequests());
-        if (runs) {
+                usable.stream().filter(backend -> state.admits(backend, nowMillis)).toList();
+        boolean canServe =
+                admitted.stream().anyMatch(backend -> backend.stage().completesRequests());
+        if (canServe) {
             return admitted.stream();
         }
-        // Never leave out a whole service: what looks like the failure of all its servers is more
-        // often this host's own, and a request refused for it would have been served.
-        return named.stream().anyMatch(backend -> backend.stage().completesRequests())
-                ? named.stream()
-                : except(state.mDirectory.lapsed(service, nowMillis), avoid).stream();
+        // Never eject all servers of a service: an apparent failure of all of them is more often a
+        // fault of this host, and the rejected request would have been served.
+        return usable.stream().anyMatch(backend -> backend.stage().completesRequests())
+                ? usable.stream()
+                : excluding(state.mDirectory.lapsed(service, nowMillis), avoid).stream();
     }
 
-    private static List<Backend> except(Stream<Backend> backends, Set<BackendId> avoid) {
+    private static List<Backend> excluding(Stream<Backend> backends, Set<BackendId> avoid) {
         return backends.filter(backend -> !avoid.contains(backend.id())).toList();
     }
 
-    private Optional<Backend> best(List<Backend> backends, ToDoubleFunction<Backend> cost) {
+    private Optional<Backend> cheapest(List<Backend> backends, ToDoubleFunction<Backend> cost) {
         Map<Backend, Double> costs = new HashMap<>();
         backends.forEach(
                 backend -> costs.put(backend, cost.applyAsDouble(backend) + mRandom.getAsDouble()));
         return backends.stream().min(Comparator.comparing(costs::get));
     }
 
-    private double runCost(State state, Backend backend, long nowMillis) {
-        BackendState known = state.of(backend);
-        return readMillis(state, backend, known.open().unreadTokens())
-                + known.open().requests() * mCosts.requestMillis()
-                + (backend.domain().equals(mOwnDomain) ? 0 : mCosts.domainMillis())
-                + known.health().failureRate(nowMillis) * mCosts.failureMillis()
-                + known.fullness(nowMillis) * mCosts.fullMillis()
-                + known.excessMillis(nowMillis);
+    private double requestCost(State state, Backend backend, long nowMillis) {
+        BackendState backendState = state.stateOf(backend);
+        return prefillMillis(state, backend, backendState.openWork().pendingPromptTokens())
+                + backendState.openWork().requests() * mCosts.requestMillis()
+                + (backend.domain().equals(mOwnDomain) ? 0 : mCosts.crossDomainMillis())
+                + backendState.health().failureRate(nowMillis) * mCosts.failureMillis()
+                + backendState.fullness(nowMillis) * mCosts.fullMillis()
+                + backendState.excessWaitMillis(nowMillis);
     }
 
-    private double readMillis(State state, Backend backend, long promptTokens) {
-        double share = backend.stage() == BackendStage.PREFILL ? 1 : mCosts.inPlaceShare();
-        return promptTokens / (state.speed(backend.service()).tokensPerMilli() * share);
+    private double prefillMillis(State state, Backend backend, long promptTokens) {
+        double share = backend.stage() == BackendStage.PREFILL ? 1 : mCosts.localPrefillShare();
+        return promptTokens / (state.throughput(backend.service()).tokensPerMilli() * share);
     }
 
-    private Optional<Backend> cheapestReader(
-            State state, Backend runner, WorkSize size, long nowMillis) {
-        List<Backend> readers =
+    private Optional<Backend> cheapestPrefillEngine(
+            State state, Backend decodeEngine, WorkSize size, long nowMillis) {
+        List<Backend> prefillEngines =
                 state.mDirectory
-                        .usable(runner.service())
+                        .usable(decodeEngine.service())
                         .filter(backend -> backend.stage() == BackendStage.PREFILL)
                         .filter(backend -> state.admits(backend, nowMillis))
-                        .filter(reader -> !state.of(reader).isOutdated(reader, nowMillis))
+                        .filter(
+                                prefillEngine ->
+                                        !state.stateOf(prefillEngine)
+                                                .isOutdated(prefillEngine, nowMillis))
                         .toList();
-        BackendState known = state.of(runner);
-        // Read in place, a prompt holds up every generation that runs there for as long.
-        double inPlace =
-                readMillis(state, runner, known.open().unreadTokens()) * (1 + known.runs(nowMillis))
-                        + known.excessMillis(nowMillis);
-        return best(readers, reader -> prefillCost(state, reader, runner, size, nowMillis))
-                .filter(reader -> prefillCost(state, reader, runner, size, nowMillis) < inPlace);
+        BackendState backendState = state.stateOf(decodeEngine);
+        // Local prefill delays every generation that runs on the decode engine.
+        double localCost =
+                prefillMillis(state, decodeEngine, backendState.openWork().pendingPromptTokens())
+                                * (1 + backendState.runningGenerations(nowMillis))
+                        + backendState.excessWaitMillis(nowMillis);
+        return cheapest(
+                        prefillEngines,
+                        prefillEngine ->
+                                prefillCost(state, prefillEngine, decodeEngine, size, nowMillis))
+                .filter(
+                        prefillEngine ->
+                                prefillCost(state, prefillEngine, decodeEngine, size, nowMillis)
+                                        < localCost);
     }
 
     private double prefillCost(
-            State state, Backend reader, Backend runner, WorkSize size, long nowMillis) {
-        BackendState known = state.of(reader);
-        return readMillis(state, reader, known.open().unreadTokens() + size.promptTokens())
-                + mCosts.handOverMillis()
-                + (reader.domain().equals(runner.domain()) ? 0 : mCosts.domainMillis())
-                + known.health().failureRate(nowMillis) * mCosts.failureMillis()
-                + known.excessMillis(nowMillis);
+            State state,
+            Backend prefillEngine,
+            Backend decodeEngine,
+            WorkSize size,
+            long nowMillis) {
+        BackendState backendState = state.stateOf(prefillEngine);
+        return prefillMillis(
+                        state,
+                        prefillEngine,
+                        backendState.openWork().pendingPromptTokens() + size.promptTokens())
+                + mCosts.kvTransferMillis()
+                + (prefillEngine.domain().equals(decodeEngine.domain())
+                        ? 0
+                        : mCosts.crossDomainMillis())
+                + backendState.health().failureRate(nowMillis) * mCosts.failureMillis()
+                + backendState.excessWaitMillis(nowMillis);
     }
 
     private static boolean unused(State state, BackendId id) {
-        return state.mDirectory.find(id).isEmpty() && state.mStates.get(id).open().requests() == 0;
+        return state.mDirectory.find(id).isEmpty()
+                && state.mStates.get(id).openWork().requests() == 0;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendStage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendStage.java
@@ -1,22 +1,22 @@
 package org.cyclamenpaddle.relay.backend;
 
-/** Which part of a request a backend server takes. */
+/** Stage of request processing that a backend server performs. */
 public enum BackendStage {
-    /** The whole of a request: a plain service, or an engine without stages. */
+    /** Processes complete requests: a plain service, or an engine without stages. */
     WHOLE(true),
-    /** Reads prompts only. */
+    /** Prefills prompts only. */
     PREFILL(false),
-    /** Generates, and reads a prompt itself where no one else has. */
+    /** Generates tokens, and prefills a prompt itself if no prefill engine has done so. */
     DECODE(true);
 
-    private final boolean mRuns;
+    private final boolean mCompletesRequests;
 
-    BackendStage(boolean runs) {
-        mRuns = runs;
+    BackendStage(boolean completesRequests) {
+        mCompletesRequests = completesRequests;
     }
 
-    /** Returns whether requests run to their end here. */
+    /** Returns whether requests run to completion on a server of this stage. */
     public boolean completesRequests() {
-        return mRuns;
+        return mCompletesRequests;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/DomainConnectivity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/DomainConnectivity.java
@@ -5,55 +5,55 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Whether this host can reach one failure domain, learned from its sends there.
+ * Tracks whether this host can reach one failure domain, based on its sends there.
  *
- * <p>Safeguard: a failure domain that is cut off takes all its servers at once. Found out one
- * server at a time, every request would wait for a connection that never comes, once for each
- * server and again at each of their trials. Two servers out of reach in a row, with no answer from
- * there in between, count for the whole domain; one request a second finds out when it is back. Not
- * thread-safe.
+ * <p>Safeguard: when a failure domain is cut off, all its servers become unreachable at once. If
+ * each server were detected separately, every request would wait for a failing connection attempt,
+ * once per server and again at each probe. Two consecutive unreachable servers, with no response
+ * from the domain in between, therefore eject the whole domain; one request per second probes
+ * whether it is reachable again. Not thread-safe.
  */
 final class DomainConnectivity {
 
     /**
-     * Servers out of reach in a row that count for their whole domain; one may just have crashed.
+     * Consecutive unreachable servers that eject their domain; a single one may just have crashed.
      */
-    static final int SERVERS = 2;
+    static final int MIN_UNREACHABLE_SERVERS = 2;
 
-    /** Pause between two requests that try a domain again, in milliseconds. */
-    static final long TRIAL_MILLIS = 1_000;
+    /** Interval between two requests that probe an ejected domain, in milliseconds. */
+    static final long PROBE_INTERVAL_MILLIS = 1_000;
 
-    private final Set<BackendId> mOutOfReach = new HashSet<>();
-    private long mNextTrialMillis;
+    private final Set<BackendId> mUnreachable = new HashSet<>();
+    private long mNextProbeMillis;
 
-    /** Returns whether work may go there now. */
+    /** Returns whether a request may be sent to the domain now. */
     boolean admits(long nowMillis) {
-        return !isSuspect() || nowMillis >= mNextTrialMillis;
+        return !isSuspect() || nowMillis >= mNextProbeMillis;
     }
 
-    /** Notes that work goes there, which is the trial if the domain is suspect. */
-    void sent(long nowMillis) {
+    /** Records a send to the domain; it is the probe if the domain is ejected. */
+    void recordSend(long nowMillis) {
         if (isSuspect()) {
-            mNextTrialMillis = nowMillis + TRIAL_MILLIS;
+            mNextProbeMillis = nowMillis + PROBE_INTERVAL_MILLIS;
         }
     }
 
-    /** Notes the outcome of a send. */
-    void ended(BackendId backend, SendOutcome outcome, long nowMillis) {
+    /** Records the outcome of a send. */
+    void recordOutcome(BackendId backend, SendOutcome outcome, long nowMillis) {
         if (outcome == SendOutcome.NOT_SENT) {
-            mOutOfReach.add(backend);
-            mNextTrialMillis = nowMillis + TRIAL_MILLIS;
+            mUnreachable.add(backend);
+            mNextProbeMillis = nowMillis + PROBE_INTERVAL_MILLIS;
         } else if (outcome.serverResponded()) {
-            mOutOfReach.clear();
+            mUnreachable.clear();
         }
     }
 
-    /** Notes that a server there has answered something. */
-    void answered() {
-        mOutOfReach.clear();
+    /** Records that a server of the domain has responded. */
+    void recordResponse() {
+        mUnreachable.clear();
     }
 
     private boolean isSuspect() {
-        return mOutOfReach.size() >= SERVERS;
+        return mUnreachable.size() >= MIN_UNREACHABLE_SERVERS;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
@@ -4,21 +4,21 @@
 import org.cyclamenpaddle.routing.memory.RunningWork;
 
 /**
- * What an engine says of itself, as of some hundred milliseconds ago.
+ * State that an engine reports about itself, some hundred milliseconds old.
  *
- * @param ordersAccepted orders that it has accepted since its start
- * @param changingStage whether it is carrying out an order
+ * @param ordersAccepted number of orders that it has accepted since its start
+ * @param changingStage whether it is executing an order to change its stage
  * @param generations the generations that it runs
  */
 public record EngineReport(
         long ordersAccepted, boolean changingStage, List<Generation> generations) {
 
     /**
-     * One generation.
+     * One running generation.
      *
      * @param request id of its request
-     * @param heldTokens tokens that it holds in memory
-     * @param events events of its stream so far
+     * @param heldTokens number of tokens that it occupies in memory
+     * @param events number of events of its stream so far
      */
     public record Generation(String request, long heldTokens, long events) {}
 
@@ -27,13 +27,17 @@
     }
 
     /**
-     * Returns the generations in tokens.
+     * Returns the generations with their sizes in tokens.
      *
-     * @param eventTokens tokens that an event stands for
+     * @param tokensPerEvent number of tokens that one event represents
      */
-    public List<RunningWork> runningWork(int eventTokens) {
+    public List<RunningWork> runningWork(int tokensPerEvent) {
         return generations.stream()
-                .map(run -> new RunningWork(run.heldTokens(), run.events() * eventTokens))
+                .map(
+                        generation ->
+                                new RunningWork(
+                                        generation.heldTokens(),
+                                        generation.events() * tokensPerEvent))
                 .toList();
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/MovingAverage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/MovingAverage.java
@@ -1,39 +1,39 @@
 package org.cyclamenpaddle.relay.backend;
 
 /**
- * Mean of readings in which the newest counts most, and which fades to 0 while none come.
+ * Exponential moving average that decays towards 0 while no samples are added.
  *
- * <p>What was seen of a server long ago says little about it now, so that a bad one is tried again
- * by itself. Not thread-safe.
+ * <p>The decay lets a server with bad past results be selected again without an explicit reset,
+ * because old samples say little about its present condition. Not thread-safe.
  */
 final class MovingAverage {
 
     private final double mNewestWeight;
     private final double mHalfLifeMillis;
     private double mMean;
-    private long mAtMillis;
+    private long mUpdatedMillis;
 
     /**
-     * Creates a mean of 0.
+     * Creates an average with the initial value 0.
      *
-     * @param newestWeight weight of the newest reading, from 0 to 1
-     * @param halfLifeMillis time after which half of the mean is forgotten
+     * @param newestWeight weight of the newest sample, from 0 to 1
+     * @param halfLifeMillis time in which the average decays to half, in milliseconds
      */
     MovingAverage(double newestWeight, double halfLifeMillis) {
         mNewestWeight = newestWeight;
         mHalfLifeMillis = halfLifeMillis;
     }
 
-    /** Takes in a reading. */
-    void add(double reading, long nowMillis) {
-        double old = at(nowMillis);
-        mMean = old + mNewestWeight * (reading - old);
-        mAtMillis = nowMillis;
+    /** Adds a sample. */
+    void add(double sample, long nowMillis) {
+        double old = value(nowMillis);
+        mMean = old + mNewestWeight * (sample - old);
+        mUpdatedMillis = nowMillis;
     }
 
-    /** Returns the mean, faded by the time since the newest reading. */
-    double at(long nowMillis) {
-        double halvings = Math.max(0, nowMillis - mAtMillis) / mHalfLifeMillis;
+    /** Returns the average, decayed by the time since the last sample. */
+    double value(long nowMillis) {
+        double halvings = Math.max(0, nowMillis - mUpdatedMillis) / mHalfLifeMillis;
         return mMean * Math.pow(0.5, halvings);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/OpenWork.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/OpenWork.java
@@ -1,25 +1,25 @@
 package org.cyclamenpaddle.relay.backend;
 
-/** This host's own open work on one backend server; not thread-safe. */
+/** Tracks this host's own in-flight work on one backend server; not thread-safe. */
 final class OpenWork {
 
     private int mRequests;
-    private long mUnreadTokens;
+    private long mPendingPromptTokens;
 
-    void started(WorkSize size) {
+    void recordStart(WorkSize size) {
         mRequests++;
-        mUnreadTokens += size.promptTokens();
+        mPendingPromptTokens += size.promptTokens();
     }
 
-    /** Notes that a prompt was read: its first token is there. */
-    void promptRead(WorkSize size) {
-        mUnreadTokens -= size.promptTokens();
+    /** Records that the prefill of a prompt is complete: its first token has arrived. */
+    void recordPrefillDone(WorkSize size) {
+        mPendingPromptTokens -= size.promptTokens();
     }
 
-    void ended(WorkSize size, boolean promptRead) {
+    void recordEnd(WorkSize size, boolean prefillDone) {
         mRequests--;
-        if (!promptRead) {
-            mUnreadTokens -= size.promptTokens();
+        if (!prefillDone) {
+            mPendingPromptTokens -= size.promptTokens();
         }
     }
 
@@ -27,7 +27,7 @@
         return mRequests;
     }
 
-    long unreadTokens() {
-        return mUnreadTokens;
+    long pendingPromptTokens() {
+        return mPendingPromptTokens;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/PrefillThroughput.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/PrefillThroughput.java
@@ -3,34 +3,35 @@
 import org.cyclamenpaddle.routing.memory.RecentValues;
 
 /**
- * How fast prefill engines read prompts, learned from how long their readings took.
+ * Estimates the prefill throughput of a service's prefill engines from the durations of completed
+ * prefills.
  *
- * <p>Most readings wait behind others; the fastest of late shows the engines' own speed. Not
- * thread-safe.
+ * <p>Most prefills include a wait in the engine's queue; the fastest recent one shows the
+ * throughput of the engine itself. Not thread-safe.
  */
 final class PrefillThroughput {
 
-    /** Tokens that are read in a millisecond, until a reading was seen. */
-    private static final double AT_FIRST = 20;
+    /** Estimate until the first prefill has been measured, in tokens per millisecond. */
+    private static final double INITIAL_TOKENS_PER_MILLI = 20;
 
-    /** Readings that are remembered. */
-    private static final int WINDOW = 64;
+    /** Number of recent prefills in the sample window. */
+    private static final int WINDOW_SAMPLES = 64;
 
-    private static final double PER_MILLE = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final RecentValues mTokensPerSecond = new RecentValues(WINDOW);
+    private final RecentValues mTokensPerSecond = new RecentValues(WINDOW_SAMPLES);
 
-    /** Takes in a reading. */
-    void read(long tokens, long millis) {
+    /** Adds a completed prefill. */
+    void add(long tokens, long millis) {
         if (tokens > 0) {
-            mTokensPerSecond.add(Math.round(PER_MILLE * tokens / Math.max(1, millis)));
+            mTokensPerSecond.add(Math.round(MILLIS_PER_SECOND * tokens / Math.max(1, millis)));
         }
     }
 
-    /** Returns the tokens that a prefill engine reads in a millisecond. */
+    /** Returns the throughput of one prefill engine, in tokens per millisecond. */
     double tokensPerMilli() {
         return mTokensPerSecond.count() == 0
-                ? AT_FIRST
-                : Math.max(1, mTokensPerSecond.quantile(1)) / PER_MILLE;
+                ? INITIAL_TOKENS_PER_MILLI
+                : Math.max(1, mTokensPerSecond.quantile(1)) / MILLIS_PER_SECOND;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
@@ -1,22 +1,25 @@
 package org.cyclamenpaddle.relay.backend;
 
-/** What became of one send to a backend server. */
+/** Outcome of one send to a backend server. */
 public enum SendOutcome {
-    /** No byte of the request has left, and none will. */
+    /** No byte of the request was sent, and none will be. */
     NOT_SENT(false, true),
-    /** The server said that it has not run the request and never will. */
+    /** The server responded that it has not run the request and never will. */
     REJECTED(false, false),
-    /** The server said that it is not the one that was meant, and so has not run the request. */
+    /** The server responded that it is not the intended one and has not run the request. */
     MISDIRECTED(false, false),
-    /** The server's own answer arrived whole and says success. */
+    /** The server's own response arrived complete and reports success. */
     SUCCEEDED(true, false),
-    /** The server's own answer arrived whole and says failure. */
+    /** The server's own response arrived complete and reports failure. */
     FAILED(true, false),
-    /** Bytes have left and no whole answer came: the request may have run, or may run still. */
+    /**
+     * Bytes were sent and no complete response arrived: the request may have run or still be
+     * running.
+     */
     UNKNOWN(true, true),
-    /** Bytes have left and nothing came in the time that there was; it may have run. */
+    /** Bytes were sent and no response arrived before the timeout; the request may have run. */
     SILENT(true, false),
-    /** The caller went first; says nothing about the server. */
+    /** The caller disconnected first; the outcome says nothing about the server. */
     ABANDONED(true, false);
 
     private final boolean mMayHaveRun;
@@ -32,12 +35,12 @@
         return mMayHaveRun;
     }
 
-    /** Returns whether the server has answered. */
+    /** Returns whether the server has responded. */
     public boolean serverResponded() {
         return this == REJECTED || this == MISDIRECTED || this == SUCCEEDED || this == FAILED;
     }
 
-    /** Returns whether the server may be down, or its connections cut. */
+    /** Returns whether the server may be down or unreachable. */
     public boolean serverSuspect() {
         return mServerSuspect;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/TimedReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/TimedReport.java
@@ -1,14 +1,14 @@
 package org.cyclamenpaddle.relay.backend;
 
 /**
- * An engine's report with the time at which it came.
+ * An engine's report with its time of arrival.
  *
- * @param report what it said
- * @param receivedMillis reading of the clock at its arrival
+ * @param report the report
+ * @param receivedMillis steady clock time of its arrival, in milliseconds
  */
 public record TimedReport(EngineReport report, long receivedMillis) {
 
-    /** Returns how long ago the report came, in milliseconds. */
+    /** Returns the time since the report arrived, in milliseconds. */
     public long ageMillis(long nowMillis) {
         return nowMillis - receivedMillis;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
@@ -3,14 +3,14 @@
 import org.cyclamenpaddle.routing.memory.NewWork;
 
 /**
- * Size of one request's work on an engine.
+ * Size of the work of one request on an engine.
  *
- * @param promptTokens tokens to be read; 0 for a plain call
- * @param outputTokens tokens expected to be generated, the most allowed if nothing is expected
+ * @param promptTokens tokens to prefill; 0 for a plain call
+ * @param outputTokens expected number of generated tokens; the maximum allowed without a forecast
  */
 public record WorkSize(long promptTokens, long outputTokens) {
 
-    /** A call of a plain service. */
+    /** Size of a call of a plain service. */
     public static final WorkSize PLAIN = new WorkSize(0, 0);
 
     public WorkSize {
@@ -20,12 +20,15 @@
         }
     }
 
-    /** Returns the tokens that the work holds in an engine's memory at its expected end. */
+    /**
+     * Returns the number of tokens that the request occupies in an engine's memory at its expected
+     * end.
+     */
     public long memoryTokens() {
         return promptTokens + outputTokens;
     }
 
-    /** Returns it as a generation that begins. */
+    /** Converts this size to the work of a new generation. */
     public NewWork asNewWork() {
         return new NewWork(promptTokens, outputTokens);
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/package-info.java
@@ -1,2 +1,2 @@
-/** What a host knows of backend servers, and the choice among them. */
+/** State of the backend servers as one host tracks it, and the selection among them. */
 package org.cyclamenpaddle.relay.backend;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
@@ -1,20 +1,20 @@
 package org.cyclamenpaddle.relay.retry;
 
-/** What a caller may be told when its request ends without a backend server's answer. */
+/** Reply to a caller whose request ends without a backend server's response. */
 public enum CallerReply {
-    /** It has not run and never will; coming back helps. */
+    /** The request has not run and never will; a later retry by the caller is useful. */
     NOT_RUN(503, true),
     /** A backend server failed and the request may have run. */
     FAILED(502, false),
-    /** No answer came in time and the request may have run. */
+    /** No response arrived before the timeout and the request may have run. */
     TIMED_OUT(504, false);
 
     private final int mStatus;
-    private final boolean mComeBack;
+    private final boolean mHasRetryAfter;
 
-    CallerReply(int status, boolean comeBack) {
+    CallerReply(int status, boolean hasRetryAfter) {
         mStatus = status;
-        mComeBack = comeBack;
+        mHasRetryAfter = hasRetryAfter;
     }
 
     /** Returns the HTTP status. */
@@ -22,8 +22,8 @@
         return mStatus;
     }
 
-    /** Returns whether the answer tells when to come back. */
+    /** Returns whether the reply tells the caller its retry delay. */
     public boolean hasRetryAfter() {
-        return mComeBack;
+        return mHasRetryAfter;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/EventFramer.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/EventFramer.java
@@ -4,76 +4,78 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events at the ends of events.
+ * Splits a stream of server-sent events at event boundaries.
  *
- * <p>Safeguard: a backend server can break off in the middle of an event. Had its first half gone
- * to the caller, the next server's stream would be joined to half an event. So only whole events
- * are let through, and the stream can go on after the last of them. Not thread-safe.
+ * <p>Safeguard: a backend server can break its connection within an event. If the first part had
+ * been forwarded to the caller, the stream of the next server would be appended to an incomplete
+ * event. Therefore only complete events are returned, and the stream can resume after the last of
+ * them. Not thread-safe.
  */
 public final class EventFramer {
 
     private static final String ID_FIELD = "id:";
 
-    private final ByteArrayOutputStream mRest = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream mPartialEvent = new ByteArrayOutputStream();
     private final StringBuilder mLine = new StringBuilder();
-    private Optional<String> mPendingId = Optional.empty();
-    private Optional<String> mLastId;
+    private Optional<String> mPendingEventId = Optional.empty();
+    private Optional<String> mLastEventId;
     private long mEvents;
 
     /**
-     * Creates the tail of a stream.
+     * Creates a framer for a stream.
      *
-     * @param lastId id of the last event that the caller has; empty at the beginning
+     * @param lastEventId id of the last event that the caller has received; empty at the beginning
      */
-    public EventFramer(Optional<String> lastId) {
-        mLastId = lastId;
+    public EventFramer(Optional<String> lastEventId) {
+        mLastEventId = lastEventId;
     }
 
     /**
-     * Takes in bytes and returns those up to the end of the last whole event.
+     * Adds received bytes and returns all bytes up to the end of the last complete event.
      *
-     * @param bytes as they came
+     * @param bytes the bytes as received
+     * @return the completed events; empty if no event is complete
      */
     public byte[] offer(byte[] bytes) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream complete = new ByteArrayOutputStream();
         for (byte next : bytes) {
-            mRest.write(next);
+            mPartialEvent.write(next);
             if (next != '\n') {
                 mLine.append((char) (next & 0xff));
-            } else if (lineEnds()) {
-                whole.writeBytes(mRest.toByteArray());
-                mRest.reset();
+            } else if (endLine()) {
+                complete.writeBytes(mPartialEvent.toByteArray());
+                mPartialEvent.reset();
             }
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    /** Forgets the bytes of an event that was not completed. */
+    /** Discards the bytes of an incomplete event. */
     public void discardPartialEvent() {
-        mRest.reset();
+        mPartialEvent.reset();
         mLine.setLength(0);
-        mPendingId = Optional.empty();
+        mPendingEventId = Optional.empty();
     }
 
-    /** Returns the bytes after the last whole event and forgets them. */
+    /** Returns the bytes after the last complete event and discards them. */
     public byte[] takePartialEvent() {
-        byte[] rest = mRest.toByteArray();
+        byte[] partial = mPartialEvent.toByteArray();
         discardPartialEvent();
-        return rest;
+        return partial;
     }
 
-    /** Returns the id of the last whole event. */
+    /** Returns the id of the last complete event. */
     public Optional<String> lastEventId() {
-        return mLastId;
+        return mLastEventId;
     }
 
-    /** Returns the number of whole events. */
+    /** Returns the number of complete events. */
     public long events() {
         return mEvents;
     }
 
     /** Ends a line and returns whether it ends an event. */
-    private boolean lineEnds() {
+    private boolean endLine() {
         int length = mLine.length();
         if (length > 0 && mLine.charAt(length - 1) == '\r') {
             mLine.setLength(length - 1);
@@ -81,14 +83,14 @@
         String line = mLine.toString();
         mLine.setLength(0);
         if (line.startsWith(ID_FIELD)) {
-            mPendingId = Optional.of(line.substring(ID_FIELD.length()).strip());
+            mPendingEventId = Optional.of(line.substring(ID_FIELD.length()).strip());
         }
         if (!line.isEmpty()) {
             return false;
         }
         mEvents++;
-        mLastId = mPendingId.or(() -> mLastId);
-        mPendingId = Optional.empty();
+        mLastEventId = mPendingEventId.or(() -> mLastEventId);
+        mPendingEventId = Optional.empty();
         return true;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryDecision.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryDecision.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.relay.retry;
 
-/** What follows a send that has ended. */
+/** Action that follows a completed send. */
 public enum RetryDecision {
-    /** Send to another backend server. */
+    /** End the request with the reply that {@link RetryPolicy#reply} returns. */
     SEND_AGAIN,
-    /** Give the backend server's own answer to the caller. */
+    /** Forward the backend server's own response to the caller. */
     PASS_ON,
     /** End the request with {@link RetryPolicy#reply}. */
     END
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryLimits.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryLimits.java
@@ -3,11 +3,11 @@
 import org.cyclamenpaddle.relay.route.Route;
 
 /**
- * What bounds the retries of one request.
+ * Limits on the retries of one request.
  *
  * @param repeatable whether it may be sent again after it may have run
- * @param maxAttempts backend servers that it may be sent to
- * @param timeoutMillis longest wait for its final answer
+ * @param maxAttempts maximum number of backend servers that it may be sent to
+ * @param timeoutMillis maximum time until its final response, in milliseconds
  */
 public record RetryLimits(boolean repeatable, int maxAttempts, long timeoutMillis) {
 
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Returns the terms of a request.
+     * Returns the limits of a request.
      *
      * @param route its route
-     * @param callerMillis how long its caller waits
+     * @param callerMillis timeout of its caller, in milliseconds
      */
     public static RetryLimits of(Route route, long callerMillis) {
         return new RetryLimits(
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
@@ -5,32 +5,35 @@
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 
 /**
- * Retry policy of one request: what is sent again, and what its caller is told.
+ * Retry policy of one request: decides whether it is sent again and which reply its caller gets.
  *
- * <p>From the outcomes of the sends alone follow what may be sent again and what the caller may be
- * told. A request that must not repeat is never sent after a send that may have reached a server,
- * and "not run" is said only if no send may have. Not thread-safe.
+ * <p>Both depend only on the outcomes of the sends. A request that is not repeatable is never sent
+ * again after a send that may have reached a server, and a caller is told "not run" only if no send
+ * may have run. Not thread-safe.
  */
 public final class RetryPolicy {
 
-    /** Least time left that is worth another send, in milliseconds: a short call takes as long. */
-    static final long LEAST_USEFUL_MILLIS = 20;
+    /** Minimum remaining time for another send, in milliseconds: the duration of a short call. */
+    static final long MIN_REMAINING_MILLIS = 20;
 
-    /** Sends that never left, after which a host gives up: its own paths are the trouble then. */
-    static final int MOST_UNSENT = 4;
+    /**
+     * Number of sends that could not leave this host after which the request ends; its own network
+     * is then the likely cause.
+     */
+    static final int MAX_UNSENT_SENDS = 4;
 
     /**
-     * Times that a request goes on at a server that broke its connection: where two of five answers
-     * are lost, one request of sixteen is still without an answer then.
+     * Maximum number of times that a request resumes on a server that broke its connection: if two
+     * of five responses are lost, one request in sixteen is still without a response then.
      */
-    static final int MOST_GONE_ON_HERE = 2;
+    static final int MAX_RESUMES_ON_SAME_BACKEND = 2;
 
-    private final RetryLimits mTerms;
+    private final RetryLimits mLimits;
     private final long mStartMillis;
     private int mSends;
     private int mUnsent;
-    private int mGoneOnHere;
-    private boolean mSending;
+    private int mResumes;
+    private boolean mSendInFlight;
     private boolean mMayHaveRun;
     private boolean mForwarding;
     private boolean mEnded;
@@ -38,111 +41,121 @@
     /**
      * Creates the policy of a request that has just arrived.
      *
-     * @param terms its bounds
-     * @param nowMillis reading of the clock
+     * @param limits its limits
+     * @param nowMillis current time of the steady clock
      */
-    public RetryPolicy(RetryLimits terms, long nowMillis) {
-        mTerms = terms;
+    public RetryPolicy(RetryLimits limits, long nowMillis) {
+        mLimits = limits;
         mStartMillis = nowMillis;
     }
 
-    /** Returns the time left for the final answer, in milliseconds; never negative. */
+    /** Returns the time left until the timeout of the request, in milliseconds; never negative. */
     public long remainingMillis(long nowMillis) {
-        return Math.max(0, mStartMillis + mTerms.timeoutMillis() - nowMillis);
+        return Math.max(0, mStartMillis + mLimits.timeoutMillis() - nowMillis);
     }
 
-    /** Notes that the request is handed to a backend server now. */
+    /** Records that the request is being sent to a backend server. */
     public void beginSend() {
-        Invariants.require(!mSending && !mEnded, () -> "a request is sent while another send runs");
         Invariants.require(
-                mSends < mTerms.maxAttempts(),
-                () -> "more sends than " + mTerms.maxAttempts() + " attempts allow");
+                !mSendInFlight && !mEnded,
+                () -> "request sent while another send is in progress, or after its end");
+        Invariants.require(
+                mSends < mLimits.maxAttempts(),
+                () -> "request sent more often than its " + mLimits.maxAttempts() + " attempts");
         Invariants.require(
-                !mMayHaveRun || mTerms.repeatable(), () -> "a request is sent that may have run");
-        mSending = true;
+                !mMayHaveRun || mLimits.repeatable(),
+                () -> "request sent again although it may have run and is not repeatable");
+        mSendInFlight = true;
         mSends++;
     }
 
     /**
-     * Decides whether a rejected request is sent to the same backend server once more; the send
-     * that was begun then goes on.
+     * Decides whether a rejected request is sent to the same backend server again; the current send
+     * then continues.
      *
-     * <p>The bound on attempts counts servers, so that this uses none up; the shared budget counts
-     * every send.
+     * <p>The limit on attempts counts servers, so this consumes no attempt; the shared budget
+     * counts every send.
      *
-     * @param nowMillis reading of the clock
-     * @param budget takes one repeat out of the shared budget
+     * @param nowMillis current time of the steady clock
+     * @param budget takes one retry from the shared budget; false if there is none left
+     * @return whether the request is sent again
      */
     public boolean resendToSameBackend(long nowMillis, BooleanSupplier budget) {
-        Invariants.require(mSending, () -> "a request is sent again that was not sent");
-        return remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS && budget.getAsBoolean();
+        Invariants.require(mSendInFlight, () -> "request resent without a send in progress");
+        return remainingMillis(nowMillis) >= MIN_REMAINING_MILLIS && budget.getAsBoolean();
     }
 
     /**
-     * Returns whether a request whose connection broke may go on at the same backend server.
+     * Returns whether a request whose connection broke may resume on the same backend server.
      *
-     * <p>Like {@link #resendToSameBackend} it uses up no attempt; unlike there the server has run
-     * it, so that its route must allow repeats, and a server that breaks again and again is left.
+     * <p>Like {@link #resendToSameBackend}, this consumes no attempt; unlike there, the server has
+     * run the request, so its route must allow repeats, and the number of resumes per request is
+     * limited.
      */
     public boolean mayResumeOnSameBackend(long nowMillis) {
-        Invariants.require(mSending, () -> "a request goes on that was not sent");
-        return mTerms.repeatable()
-                && mGoneOnHere < MOST_GONE_ON_HERE
-                && remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
+        Invariants.require(mSendInFlight, () -> "request resumed without a send in progress");
+        return mLimits.repeatable()
+                && mResumes < MAX_RESUMES_ON_SAME_BACKEND
+                && remainingMillis(nowMillis) >= MIN_REMAINING_MILLIS;
     }
 
     /**
-     * Notes that a request whose connection broke goes on at the same backend server, if the shared
-     * budget has a repeat left; the send that was begun then goes on.
+     * Records that a request whose connection broke resumes on the same backend server, if the
+     * shared budget has a retry left; the current send then continues.
+     *
+     * @return whether the request resumes
      */
     public boolean resumeOnSameBackend(BooleanSupplier budget) {
-        boolean goesOn = budget.getAsBoolean();
-        if (goesOn) {
+        boolean resumes = budget.getAsBoolean();
+        if (resumes) {
             mMayHaveRun = true;
-            mGoneOnHere++;
+            mResumes++;
         }
-        return goesOn;
+        return resumes;
     }
 
     /**
-     * Notes that the present send is made a second time to its server, after a connection that
-     * broke; whatever becomes of it now, the first time may have run.
+     * Records that the current send is repeated to its server after its connection broke; whatever
+     * its outcome, the first one may have run.
      */
     public void recordDuplicateSend() {
-        Invariants.require(mTerms.repeatable(), () -> "a request is sent twice to one server");
+        Invariants.require(
+                mLimits.repeatable(),
+                () -> "request that is not repeatable sent twice to one server");
         mMayHaveRun = true;
     }
 
-    /** Notes that the caller has got the head of an answer. */
+    /** Records that the caller has received the head of a response. */
     public void beginForwarding() {
         mForwarding = true;
     }
 
-    /** Returns whether the caller has got the head of an answer. */
+    /** Returns whether the caller has received the head of a response. */
     public boolean isForwarding() {
         return mForwarding;
     }
 
-    /** Returns whether the attempts allow another send after the present one. */
+    /** Returns whether the attempts allow another send after the current one. */
     public boolean hasAttemptsLeft() {
-        return mSends < mTerms.maxAttempts();
+        return mSends < mLimits.maxAttempts();
     }
 
-    /** Returns the sends so far, those that never left not counted. */
+    /** Returns the number of sends so far, excluding those that were never sent. */
     public int sends() {
         return mSends;
     }
 
     /**
-     * Decides what follows a send.
+     * Decides the action that follows a completed send.
      *
-     * @param outcome how it ended
-     * @param nowMillis reading of the clock
-     * @param budget takes one repeat out of the shared budget; asked only if one would be sent
+     * @param outcome outcome of the send
+     * @param nowMillis current time of the steady clock
+     * @param budget takes one retry from the shared budget; called only if the request would be
+     *     retried
      */
     public RetryDecision endSend(SendOutcome outcome, long nowMillis, BooleanSupplier budget) {
-        Invariants.require(mSending, () -> "a send ends that was not begun");
-        mSending = false;
+        Invariants.require(mSendInFlight, () -> "send ended that was not started");
+        mSendInFlight = false;
         if (outcome == SendOutcome.NOT_SENT) {
             mSends--;
             mUnsent++;
@@ -151,7 +164,7 @@
         if (outcome == SendOutcome.SUCCEEDED) {
             return RetryDecision.PASS_ON;
         }
-        if (mayRepeat(outcome, nowMillis) && (mSends == 0 || budget.getAsBoolean())) {
+        if (mayRetry(outcome, nowMillis) && (mSends == 0 || budget.getAsBoolean())) {
             return RetryDecision.SEND_AGAIN;
         }
         return outcome == SendOutcome.FAILED && !mForwarding
@@ -160,10 +173,10 @@
     }
 
     /**
-     * Ends the request without a backend server's answer and returns what the caller is told.
+     * Ends the request without a backend server's response and returns the reply to its caller.
      *
-     * @param outcome how the send ended that still ran, {@link SendOutcome#NOT_SENT} if none did
-     * @param nowMillis reading of the clock
+     * @param outcome outcome of the send in progress, {@link SendOutcome#NOT_SENT} if there is none
+     * @param nowMillis current time of the steady clock
      */
     public CallerReply reply(SendOutcome outcome, long nowMillis) {
         mEnded = true;
@@ -174,12 +187,12 @@
         return remainingMillis(nowMillis) == 0 ? CallerReply.TIMED_OUT : CallerReply.FAILED;
     }
 
-    private boolean mayRepeat(SendOutcome outcome, long nowMillis) {
-        boolean harmless = !mMayHaveRun || mTerms.repeatable();
-        return harmless
+    private boolean mayRetry(SendOutcome outcome, long nowMillis) {
+        boolean safe = !mMayHaveRun || mLimits.repeatable();
+        return safe
                 && outcome != SendOutcome.ABANDONED
-                && mSends < mTerms.maxAttempts()
-                && mUnsent < MOST_UNSENT
-                && remainingMillis(nowMillis) >= LEAST_USEFUL_MILLIS;
+                && mSends < mLimits.maxAttempts()
+                && mUnsent < MAX_UNSENT_SENDS
+                && remainingMillis(nowMillis) >= MIN_REMAINING_MILLIS;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Retry policy of one request: what may be sent again and what its caller may be told. */
+/** Retry policy of one request: which sends may be repeated and which reply its caller may get. */
 package org.cyclamenpaddle.relay.retry;
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/Backends.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/Backends.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.id.ServiceName;
 
-/** Backend servers for tests. */
+/** Creates backend servers for tests. */
 final class Backends {
 
     static final ServiceName SERVICE = new ServiceName("reader");
@@ -16,16 +16,16 @@
     }
 
     static Backend of(
-            String id, String domain, BackendStage stage, long bornMillis, boolean leaving) {
+            String id, String domain, BackendStage stage, long startedMillis, boolean draining) {
         return new Backend(
                 new BackendId(id),
-                bornMillis,
+                startedMillis,
                 SERVICE,
                 "10.0.0.1",
                 80,
                 new FailureDomain(domain),
                 stage,
                 64,
-                leaving);
+                draining);
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/PrefillThroughputTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/PrefillThroughputTest.java
@@ -4,28 +4,28 @@
 
 import org.testng.annotations.Test;
 
-/** Tests what is learned of how fast prefill engines read. */
+/** Tests {@link PrefillThroughput}. */
 public class PrefillThroughputTest {
 
-    /** Readings that queue behind others say nothing of how fast an engine reads. */
+    /** A prefill that waits behind others does not show the throughput of the engine. */
     @Test
-    public void fastestReadingOfLateCounts() {
-        PrefillThroughput speed = new PrefillThroughput();
-        speed.read(5_000, 1_000);
-        assertEquals(speed.tokensPerMilli(), 5.0);
-        speed.read(5_000, 100);
-        speed.read(5_000, 500);
-        assertEquals(speed.tokensPerMilli(), 50.0);
+    public void fastestRecentSampleIsUsed() {
+        PrefillThroughput throughput = new PrefillThroughput();
+        throughput.add(5_000, 1_000);
+        assertEquals(throughput.tokensPerMilli(), 5.0);
+        throughput.add(5_000, 100);
+        throughput.add(5_000, 500);
+        assertEquals(throughput.tokensPerMilli(), 50.0);
     }
 
-    /** An engine that has become slow for good is believed after some readings. */
+    /** If an engine becomes permanently slow, the estimate follows after one window of samples. */
     @Test
-    public void fastReadingsOfBeforeAreForgotten() {
-        PrefillThroughput speed = new PrefillThroughput();
-        speed.read(5_000, 100);
+    public void oldFastSamplesLeaveTheWindow() {
+        PrefillThroughput throughput = new PrefillThroughput();
+        throughput.add(5_000, 100);
         for (int i = 0; i < 64; i++) {
-            speed.read(5_000, 1_000);
+            throughput.add(5_000, 1_000);
         }
-        assertEquals(speed.tokensPerMilli(), 5.0);
+        assertEquals(throughput.tokensPerMilli(), 5.0);
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/EventFramerTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/EventFramerTest.java
@@ -8,60 +8,60 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Tests that {@link EventFramer} lets through whole events only. */
+/** Tests that {@link EventFramer} returns complete events only. */
 public class EventFramerTest {
 
-    private static String offer(EventFramer tail, String text) {
+    private static String offer(EventFramer framer, String text) {
         return new String(
-                tail.offer(text.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
+                framer.offer(text.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
     }
 
     @Test
-    public void halfAnEventIsHeldBack() {
-        EventFramer tail = new EventFramer(Optional.empty());
-        assertEquals(offer(tail, "id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-        assertEquals(tail.lastEventId(), Optional.of("1"));
-        assertEquals(offer(tail, "ta: b\n\n"), "id: 2\ndata: b\n\n");
-        assertEquals(tail.lastEventId(), Optional.of("2"));
+    public void partialEventIsBuffered() {
+        EventFramer framer = new EventFramer(Optional.empty());
+        assertEquals(offer(framer, "id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+        assertEquals(framer.lastEventId(), Optional.of("1"));
+        assertEquals(offer(framer, "ta: b\n\n"), "id: 2\ndata: b\n\n");
+        assertEquals(framer.lastEventId(), Optional.of("2"));
     }
 
     /**
-     * A server breaks off in the middle of event 2 and another one goes on after event 1. The
-     * caller sees event 2 once and whole, for the first half never reached it.
+     * A server breaks its connection within event 2 and another one resumes after event 1. The
+     * caller receives event 2 once and complete, because its first part was never forwarded.
      */
     @Test
-    public void droppedHalfDoesNotReachTheCaller() {
-        EventFramer tail = new EventFramer(Optional.empty());
-        offer(tail, "id: 1\ndata: a\n\nid: 2\ndata: ha");
-        tail.discardPartialEvent();
-        assertEquals(tail.lastEventId(), Optional.of("1"));
-        assertEquals(offer(tail, "id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
+    public void discardedPartialEventDoesNotReachCaller() {
+        EventFramer framer = new EventFramer(Optional.empty());
+        offer(framer, "id: 1\ndata: a\n\nid: 2\ndata: ha");
+        framer.discardPartialEvent();
+        assertEquals(framer.lastEventId(), Optional.of("1"));
+        assertEquals(offer(framer, "id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
     }
 
     @Test
     public void lineEndsWithCarriageReturnCount() {
-        EventFramer tail = new EventFramer(Optional.of("9"));
-        assertEquals(offer(tail, "data: x\r\n\r\n"), "data: x\r\n\r\n");
-        assertEquals(tail.lastEventId(), Optional.of("9"));
+        EventFramer framer = new EventFramer(Optional.of("9"));
+        assertEquals(offer(framer, "data: x\r\n\r\n"), "data: x\r\n\r\n");
+        assertEquals(framer.lastEventId(), Optional.of("9"));
     }
 
     @Test
-    public void anyCutOfTheBytesGivesTheSameStream() {
+    public void chunkBoundariesDoNotChangeTheStream() {
         String stream =
                 IntStream.range(0, 50)
                         .mapToObj(i -> "id: " + i + "\ndata: τ" + i + "\n\n")
                         .reduce("", String::concat);
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
         Random random = new Random(3);
-        EventFramer tail = new EventFramer(Optional.empty());
-        java.io.ByteArrayOutputStream seen = new java.io.ByteArrayOutputStream();
+        EventFramer framer = new EventFramer(Optional.empty());
+        java.io.ByteArrayOutputStream received = new java.io.ByteArrayOutputStream();
         for (int at = 0; at < bytes.length; ) {
             int end = Math.min(bytes.length, at + 1 + random.nextInt(20));
-            seen.writeBytes(tail.offer(java.util.Arrays.copyOfRange(bytes, at, end)));
+            received.writeBytes(framer.offer(java.util.Arrays.copyOfRange(bytes, at, end)));
             at = end;
         }
-        seen.writeBytes(tail.takePartialEvent());
-        assertEquals(seen.toByteArray(), bytes);
-        assertEquals(tail.lastEventId(), Optional.of("49"));
+        received.writeBytes(framer.takePartialEvent());
+        assertEquals(received.toByteArray(), bytes);
+        assertEquals(framer.lastEventId(), Optional.of("49"));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
@@ -13,19 +13,19 @@
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 import org.testng.annotations.Test;
 
-/** Tests what {@link RetryPolicy} lets be sent again, and what a caller is told. */
+/** Tests which sends {@link RetryPolicy} repeats and which reply a caller gets. */
 public class RetryPolicyTest {
 
-    private static final long PATIENCE = 1_000;
+    private static final long TIMEOUT_MILLIS = 1_000;
     private static final int RUNS = 20_000;
 
     private static RetryPolicy policy(boolean repeatable, int attempts) {
-        return new RetryPolicy(new RetryLimits(repeatable, attempts, PATIENCE), 0);
+        return new RetryPolicy(new RetryLimits(repeatable, attempts, TIMEOUT_MILLIS), 0);
     }
 
     /**
-     * A booking reaches a server and the connection breaks. The caller sees a 502: the booking may
-     * have run, so it is neither sent again nor said not to have run.
+     * A booking reaches a server and the connection breaks. The caller receives a 502: the booking
+     * may have run, so it is neither retried nor reported as not run.
      */
     @Test
     public void bookingThatMayHaveRunIsNeverSentAgain() {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void repeatNeedsTheSharedBudgetUnlessNothingWasSent() {
+    public void retryNeedsTheSharedBudgetUnlessNothingWasSent() {
         RetryPolicy rejected = policy(true, 3);
         rejected.beginSend();
         assertEquals(rejected.endSend(SendOutcome.REJECTED, 10, () -> false), RetryDecision.END);
@@ -63,32 +63,35 @@
     }
 
     @Test
-    public void goingOnWhereItRanUsesNoAttemptAndMayHaveRun() {
+    public void resumeOnSameBackendUsesNoAttemptAndMayHaveRun() {
         RetryPolicy policy = policy(true, 1);
         policy.beginSend();
         assertTrue(policy.mayResumeOnSameBackend(10));
         assertFalse(policy.resumeOnSameBackend(() -> false));
         assertTrue(policy.resumeOnSameBackend(() -> true));
         assertTrue(policy.resumeOnSameBackend(() -> true));
-        assertFalse(policy.mayResumeOnSameBackend(20), "a server that breaks again and again");
+        assertFalse(
+                policy.mayResumeOnSameBackend(20),
+                "a server that repeatedly breaks the connection");
         assertEquals(policy.sends(), 1);
         assertEquals(policy.endSend(SendOutcome.REJECTED, 30, () -> true), RetryDecision.END);
         assertEquals(policy.reply(SendOutcome.REJECTED, 30), CallerReply.FAILED);
     }
 
     @Test
-    public void bookingNeverGoesOnWhereItMayHaveRun() {
+    public void bookingIsNeverResumedOnSameBackend() {
         RetryPolicy policy = policy(false, 3);
         policy.beginSend();
         assertFalse(policy.mayResumeOnSameBackend(10));
     }
 
     @Test
-    public void answerIsTimedOutOnlyIfItMayHaveRun() {
+    public void replyIsTimedOutOnlyIfRequestMayHaveRun() {
         RetryPolicy sent = policy(true, 1);
         sent.beginSend();
-        assertEquals(sent.reply(SendOutcome.UNKNOWN, PATIENCE), CallerReply.TIMED_OUT);
-        assertEquals(policy(true, 1).reply(SendOutcome.NOT_SENT, PATIENCE), CallerReply.NOT_RUN);
+        assertEquals(sent.reply(SendOutcome.UNKNOWN, TIMEOUT_MILLIS), CallerReply.TIMED_OUT);
+        assertEquals(
+                policy(true, 1).reply(SendOutcome.NOT_SENT, TIMEOUT_MILLIS), CallerReply.NOT_RUN);
     }
 
     @Test
@@ -109,17 +112,17 @@
     }
 
     /**
-     * Random courses of all kinds. Whatever the servers do: no request that must not repeat is sent
-     * after a send that may have run, sends stay within the attempts, and "not run" is said only if
-     * no send may have run.
+     * Random sequences of outcomes. Whatever the servers do, a request that is not repeatable is
+     * never sent after a send that may have run, the sends stay within the attempts, and "not run"
+     * is reported only if no send may have run.
      */
     @Test
-    public void randomCoursesKeepThePromises() {
+    public void randomSequencesKeepRetryGuarantees() {
         Random random = new Random(7);
-        IntStream.range(0, RUNS).forEach(run -> randomCourse(random));
+        IntStream.range(0, RUNS).forEach(run -> randomSequence(random));
     }
 
-    private static void randomCourse(Random random) {
+    private static void randomSequence(Random random) {
         boolean repeatable = random.nextBoolean();
         int attempts = 1 + random.nextInt(3);
         RetryPolicy policy = policy(repeatable, attempts);
@@ -128,10 +131,10 @@
         RetryDecision next = RetryDecision.SEND_AGAIN;
         while (next == RetryDecision.SEND_AGAIN) {
             boolean mayHaveRun = sends.stream().anyMatch(SendOutcome::mayHaveRun);
-            assertTrue(repeatable || !mayHaveRun, "sent again after " + sends);
+            assertTrue(repeatable || !mayHaveRun, "retried after " + sends);
             policy.beginSend();
             while (policy.mayResumeOnSameBackend(now) && random.nextBoolean()) {
-                assertTrue(repeatable, "goes on where it ran, though it must not repeat");
+                assertTrue(repeatable, "resumed where it ran, although it is not repeatable");
                 if (policy.resumeOnSameBackend(random::nextBoolean)) {
                     sends.add(SendOutcome.UNKNOWN);
                 }
@@ -143,16 +146,18 @@
             assertTrue(policy.sends() <= attempts);
             assertTrue(
                     sends.size()
-                            <= attempts + RetryPolicy.MOST_UNSENT + RetryPolicy.MOST_GONE_ON_HERE,
-                    "endless: " + sends);
+                            <= attempts
+                                    + RetryPolicy.MAX_UNSENT_SENDS
+                                    + RetryPolicy.MAX_RESUMES_ON_SAME_BACKEND,
+                    "too many sends: " + sends);
         }
         if (next == RetryDecision.END) {
             boolean mayHaveRun = sends.stream().anyMatch(SendOutcome::mayHaveRun);
             CallerReply reply = policy.reply(sends.get(sends.size() - 1), now);
-            assertEquals(reply == CallerReply.NOT_RUN, !mayHaveRun, "told after " + sends);
+            assertEquals(reply == CallerReply.NOT_RUN, !mayHaveRun, "replied after " + sends);
         } else {
             SendOutcome last = sends.get(sends.size() - 1);
-            assertTrue(last.serverResponded(), "passed on after " + last);
+            assertTrue(last.serverResponded(), "forwarded after " + last);
         }
     }
 }
