--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Demand.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Demand.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.relay.role;
 
 /**
- * What a mean generation asks of the engines.
+ * Demand that a mean generation puts on the engines.
  *
- * @param promptTokens tokens to be read
+ * @param promptTokens tokens to prefill
  * @param outputTokens tokens generated
- * @param decodeMillis time from its first token to its last
+ * @param decodeMillis time from its first token to its last, in milliseconds
  */
 public record Demand(double promptTokens, double outputTokens, double decodeMillis) {
 
@@ -15,20 +15,20 @@
         }
     }
 
-    /** Returns the tokens that a generation makes in a millisecond. */
+    /** Returns the tokens that a generation produces per millisecond. */
     public double tokensPerMilli() {
         return decodeMillis == 0 ? 0 : outputTokens / decodeMillis;
     }
 
-    /** Returns the mean after one more generation that counts with a weight from 0 to 1. */
-    Demand with(Demand newest, double weight) {
+    /** Returns the mean including one more generation with the given weight, from 0 to 1. */
+    Demand withSample(Demand newest, double weight) {
         return new Demand(
-                mixed(promptTokens, newest.promptTokens, weight),
-                mixed(outputTokens, newest.outputTokens, weight),
-                mixed(decodeMillis, newest.decodeMillis, weight));
+                interpolate(promptTokens, newest.promptTokens, weight),
+                interpolate(outputTokens, newest.outputTokens, weight),
+                interpolate(decodeMillis, newest.decodeMillis, weight));
     }
 
-    private static double mixed(double old, double newest, double weight) {
+    private static double interpolate(double old, double newest, double weight) {
         return old + weight * (newest - old);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
@@ -15,94 +15,102 @@
 import org.cyclamenpaddle.routing.memory.OutputLengths;
 import org.cyclamenpaddle.routing.memory.RunningWork;
 
-/** What each service's generations ask of engines, as this host has seen them; thread-safe. */
+/** Measures the demand of each service's generations as observed by this host; thread-safe. */
 public final class DemandMeter {
 
-    /** Least weight of the newest generation: about the last hundred count. */
-    private static final double NEWEST_WEIGHT = 0.01;
+    /** Minimum weight of the newest generation; about the last hundred count. */
+    private static final double MIN_NEWEST_WEIGHT = 0.01;
 
-    /** Generations from which a mean says enough. */
-    private static final int ENOUGH = 60;
+    /** Number of completed generations from which the mean is significant. */
+    private static final int MIN_GENERATIONS = 60;
 
     /**
-     * Standard deviations that are kept free above the mean sum of what engines hold.
+     * Safety margin above the mean total memory demand, in standard deviations.
      *
-     * <p>A sum that turns out higher preempts a generation, which is read again and then late; one
-     * that is refused for want of room is late as well, but has cost nothing.
+     * <p>A total above the forecast preempts a generation, which is prefilled again and then late;
+     * a generation that is rejected for lack of capacity is late as well, but has wasted nothing.
      */
-    private static final double CAUTION = 1;
+    private static final double SAFETY_MARGIN_DEVIATIONS = 1;
 
-    private static final class Seen {
+    private static final class ServiceDemand {
         private final OutputLengths mLengths = new OutputLengths();
-        private final MemoryForecast mOutlook = new MemoryForecast(mLengths, CAUTION);
+        private final MemoryForecast mForecast =
+                new MemoryForecast(mLengths, SAFETY_MARGIN_DEVIATIONS);
         private Demand mMean = new Demand(0, 0, 0);
-        private int mEnded;
+        private int mCompleted;
 
-        private void ended(Demand demand) {
-            mEnded++;
-            mMean = mMean.with(demand, Math.max(NEWEST_WEIGHT, 1.0 / mEnded));
+        private void recordEnd(Demand demand) {
+            mCompleted++;
+            mMean = mMean.withSample(demand, Math.max(MIN_NEWEST_WEIGHT, 1.0 / mCompleted));
         }
     }
 
-    private final Table<Map<ServiceName, Seen>> mSeen =
+    private final Table<Map<ServiceName, ServiceDemand>> mDemands =
             new Table<>(TableOrder.DEMAND, new HashMap<>());
 
-    /** Takes in a generation that has arrived. */
+    /** Records a generation that has arrived. */
     public void recordStart(ServiceName service, WorkSize size) {
-        mSeen.write(seen -> of(seen, service).mLengths.begun(size.asNewWork()));
+        mDemands.write(demands -> of(demands, service).mLengths.begun(size.asNewWork()));
     }
 
     /**
-     * Takes in a generation that has ended well.
+     * Records a generation that has completed successfully.
      *
      * @param service its service
-     * @param size what was known of it at its arrival
-     * @param demand what it has asked for
+     * @param size its size as known at its arrival
+     * @param demand its actual demand
      */
     public void recordEnd(ServiceName service, WorkSize size, Demand demand) {
-        mSeen.write(
-                seen -> {
-                    Seen known = of(seen, service);
-                    known.ended(demand);
-                    known.mLengths.ended(size.outputTokens(), (long) demand.outputTokens());
+        mDemands.write(
+                demands -> {
+                    ServiceDemand demandOfService = of(demands, service);
+                    demandOfService.recordEnd(demand);
+                    demandOfService.mLengths.ended(
+                            size.outputTokens(), (long) demand.outputTokens());
                 });
     }
 
-    /** Returns the mean demand of a service; empty until enough of its generations have ended. */
+    /**
+     * Returns the mean demand of a service; empty until enough of its generations have completed.
+     */
     public Optional<Demand> of(ServiceName service) {
-        return mSeen.read(
-                seen ->
-                        Optional.ofNullable(seen.get(service))
-                                .filter(known -> known.mEnded >= ENOUGH)
-                                .map(known -> known.mMean));
+        return mDemands.read(
+                demands ->
+                        Optional.ofNullable(demands.get(service))
+                                .filter(
+                                        demandOfService ->
+                                                demandOfService.mCompleted >= MIN_GENERATIONS)
+                                .map(demandOfService -> demandOfService.mMean));
     }
 
     /**
-     * Returns the tokens that must be free at an engine beside a new generation's place; see {@link
-     * MemoryForecast#room}.
+     * Returns the number of tokens that must be free at an engine in addition to the reservation of
+     * a new generation; see {@link MemoryForecast#room}.
      *
      * @param service the service
-     * @param shape of its engines
-     * @param runs what the engine runs, as last reported
-     * @param reportMillis age of the report
-     * @param size the new generation
+     * @param profile profile of its engines
+     * @param generations generations that the engine runs, as last reported
+     * @param reportAgeMillis age of the report, in milliseconds
+     * @param size size of the new generation
      */
     public OptionalLong requiredFreeTokens(
             ServiceName service,
-            EngineProfile shape,
-            List<RunningWork> runs,
-            long reportMillis,
+            EngineProfile profile,
+            List<RunningWork> generations,
+            long reportAgeMillis,
             WorkSize size) {
-        return mSeen.read(
-                seen -> {
-                    Seen known = of(seen, service);
-                    long since = Math.round(known.mMean.tokensPerMilli() * reportMillis);
-                    return known.mOutlook.room(
-                            new EngineWork(shape.memoryTokens(), runs, since), size.asNewWork());
+        return mDemands.read(
+                demands -> {
+                    ServiceDemand demandOfService = of(demands, service);
+                    long tokensSinceReport =
+                            Math.round(demandOfService.mMean.tokensPerMilli() * reportAgeMillis);
+                    return demandOfService.mForecast.room(
+                            new EngineWork(profile.memoryTokens(), generations, tokensSinceReport),
+                            size.asNewWork());
                 });
     }
 
-    private static Seen of(Map<ServiceName, Seen> seen, ServiceName service) {
-        return seen.computeIfAbsent(service, any -> new Seen());
+    private static ServiceDemand of(Map<ServiceName, ServiceDemand> demands, ServiceName service) {
+        return demands.computeIfAbsent(service, key -> new ServiceDemand());
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineLoad.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineLoad.java
@@ -3,31 +3,36 @@
 import org.cyclamenpaddle.relay.route.EngineProfile;
 
 /**
- * What a mean generation takes of one engine.
+ * Engine time that a mean generation takes.
  *
- * @param readMillis time of a prefill engine
- * @param memoryMillis time of a decode engine whose whole memory it would hold
+ * @param prefillMillis time of one prefill engine, in milliseconds
+ * @param decodeMemoryMillis time of one decode engine if the generation occupied all its memory, in
+ *     milliseconds
  */
-public record EngineLoad(double readMillis, double memoryMillis) {
+public record EngineLoad(double prefillMillis, double decodeMemoryMillis) {
 
     public EngineLoad {
-        if (readMillis <= 0 || memoryMillis <= 0) {
+        if (prefillMillis <= 0 || decodeMemoryMillis <= 0) {
             throw new IllegalArgumentException(
-                    "a generation reads for " + readMillis + " and holds for " + memoryMillis);
+                    "load must be above 0: prefill ms "
+                            + prefillMillis
+                            + ", decode memory ms "
+                            + decodeMemoryMillis);
         }
     }
 
     /**
-     * Returns the load of a demand.
+     * Returns the load that a demand puts on an engine.
      *
-     * @param demand of a mean generation
-     * @param shape of an engine
-     * @param tokensReadPerMilli prompt tokens that a prefill engine reads in a millisecond
+     * @param demand demand of a mean generation
+     * @param profile profile of an engine
+     * @param prefillTokensPerMilli prefill throughput of an engine, in prompt tokens per
+     *     millisecond
      */
-    static EngineLoad of(Demand demand, EngineProfile shape, double tokensReadPerMilli) {
+    static EngineLoad of(Demand demand, EngineProfile profile, double prefillTokensPerMilli) {
         double heldTokens = demand.promptTokens() + demand.outputTokens() / 2;
         return new EngineLoad(
-                Math.max(1, demand.promptTokens()) / tokensReadPerMilli,
-                Math.max(1, heldTokens * demand.decodeMillis() / shape.memoryTokens()));
+                Math.max(1, demand.promptTokens()) / prefillTokensPerMilli,
+                Math.max(1, heldTokens * demand.decodeMillis() / profile.memoryTokens()));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrders.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrders.java
@@ -4,24 +4,28 @@
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.relay.backend.Backend;
 
-/** Gives orders to engines; futures never fail, and what went wrong is said in a line. */
+/**
+ * Client for orders to engines; its futures never fail, and errors are returned as one line of
+ * text.
+ */
 public interface EngineOrders {
 
     /**
-     * Asks an engine how many orders it has accepted.
+     * Requests the number of orders that an engine has accepted.
      *
-     * @return the number; left if it is carrying one out, or did not say
+     * @return the number; left if the engine is executing an order or did not respond
      */
     CompletableFuture<Either<String, Long>> acceptedOrders(Backend engine);
 
     /**
      * Orders a change of stage.
      *
-     * @param change engine and stage
-     * @param holder who orders
-     * @param fence of its lease
-     * @param accepted orders that the engine must have accepted before, no more and no fewer
-     * @return the engine's answer in a word
+     * @param change engine and new stage
+     * @param holder holder of the lease
+     * @param fencingToken fencing token of its lease
+     * @param accepted exact number of orders that the engine must have accepted before
+     * @return the engine's response in one word
      */
-    CompletableFuture<String> order(StageChange change, String holder, long fence, long accepted);
+    CompletableFuture<String> order(
+            StageChange change, String holder, long fencingToken, long accepted);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
@@ -4,83 +4,89 @@
 import java.util.OptionalLong;
 
 /**
- * One host's view of the lease on giving orders, as a pure state machine.
+ * State machine for one host's view of the lease on issuing orders; performs no I/O.
  *
- * <p>Engines do not check who orders them. Two hosts that both believed to be in charge would send
- * engines back and forth; so an order leaves only while the lease is certainly held, and a new
- * holder waits until no order of the old one can still be under way. Not thread-safe.
+ * <p>Engines do not check which host orders them, and two hosts that both act as holder would
+ * switch engines back and forth. Therefore an order is issued only while the lease is certainly
+ * held, and a new holder waits until no order of the previous one can still be in progress. Not
+ * thread-safe.
  */
 public final class Lease {
 
     /**
-     * How long a renewal holds, in milliseconds, counted from before it was sent.
+     * Duration of the lease after a renewal, in milliseconds, counted from before the renewal was
+     * sent.
      *
-     * <p>Three renewals a second apart may fail before the lease is lost.
+     * <p>Three renewals, one second apart, may fail before the lease is lost.
      */
-    public static final long HELD_MILLIS = 3_000;
+    public static final long LEASE_MILLIS = 3_000;
 
-    /** Time left on the lease that an order needs, in milliseconds: its call with its timeouts. */
-    public static final long ORDER_MILLIS = 1_200;
+    /**
+     * Minimum remaining lease time for issuing an order, in milliseconds: its call including
+     * timeouts.
+     */
+    public static final long ORDER_MARGIN_MILLIS = 1_200;
 
     /**
-     * How long a lease must stand still before another host takes it, in milliseconds.
+     * Time for which a lease must be unchanged before another host takes it over, in milliseconds.
      *
-     * <p>Safeguard: what the old holder last sent arrives within its own lease and one order's
-     * time; engines count two holders as fighting when they take turns within three seconds more.
+     * <p>Safeguard: the last order of the previous holder arrives within its lease and the time of
+     * one order; engines treat two holders as conflicting if their orders alternate within three
+     * more seconds.
      */
-    public static final long TAKEOVER_MILLIS = HELD_MILLIS + ORDER_MILLIS + 3_000 + 1_000;
+    public static final long TAKEOVER_MILLIS = LEASE_MILLIS + ORDER_MARGIN_MILLIS + 3_000 + 1_000;
 
     /**
-     * Difference between the steady clock and the time of day that is still trusted, in
+     * Maximum difference between the steady clock and the wall clock since the renewal, in
      * milliseconds.
      *
-     * <p>Safeguard: the steady clock stands still while a host is frozen, so that a lease that ran
-     * out long ago would look fresh; the time of day moves on and shows it. A step of the time of
-     * day costs the lease for nothing, which harms nobody.
+     * <p>Safeguard: the steady clock stops while a host is suspended, so a lease that expired long
+     * ago would appear valid; the wall clock continues and shows the difference. A step of the wall
+     * clock causes an unnecessary loss of the lease, which is harmless.
      */
-    static final long DRIFT_MILLIS = 500;
+    static final long MAX_CLOCK_DRIFT_MILLIS = 500;
 
-    /** A write that this host should make. */
-    public record Claim(LeaseRecord record, OptionalLong revision) {}
+    /** Conditional write that this host should perform. */
+    public record LeaseWrite(LeaseRecord record, OptionalLong revision) {}
 
-    private record Held(StoredLease lease, long sentMillis, long sentWallMillis) {}
+    private record HeldLease(StoredLease lease, long sentMillis, long sentWallMillis) {}
 
     private final String mSelf;
-    private Optional<StoredLease> mSeen = Optional.empty();
-    private long mSeenSinceMillis;
-    private Optional<Held> mHeld = Optional.empty();
+    private Optional<StoredLease> mObserved = Optional.empty();
+    private long mObservedSinceMillis;
+    private Optional<HeldLease> mHeld = Optional.empty();
 
     /**
-     * Creates a view that knows nothing.
+     * Creates a view without any knowledge of the lease.
      *
-     * @param self names this life of this host
+     * @param self identifies this incarnation of this host
      */
     public Lease(String self) {
         mSelf = self;
     }
 
-    /** Returns whether this host wrote the lease as it is last known. */
+    /** Returns whether this host wrote the last known state of the lease. */
     public boolean isHolder() {
         return mHeld.isPresent();
     }
 
     /**
-     * Returns the fence to order by; empty unless an order may leave now.
+     * Returns the fencing token for an order; empty unless an order may be issued now.
      *
-     * @param nowMillis reading of the steady clock
-     * @param wallMillis time of day
+     * @param nowMillis current time of the steady clock
+     * @param wallMillis current time of the wall clock
      */
-    public OptionalLong fence(long nowMillis, long wallMillis) {
-        return mHeld.filter(held -> certain(held, nowMillis, wallMillis)).stream()
+    public OptionalLong fencingToken(long nowMillis, long wallMillis) {
+        return mHeld.filter(held -> isValid(held, nowMillis, wallMillis)).stream()
                 .mapToLong(held -> held.lease().record().fencingToken())
                 .findFirst();
     }
 
-    /** Takes in what the store holds. */
-    public void seen(Optional<StoredLease> lease, long nowMillis) {
-        if (!lease.equals(mSeen)) {
-            mSeen = lease;
-            mSeenSinceMillis = nowMillis;
+    /** Records the state of the lease as read from the store. */
+    public void observe(Optional<StoredLease> lease, long nowMillis) {
+        if (!lease.equals(mObserved)) {
+            mObserved = lease;
+            mObservedSinceMillis = nowMillis;
         }
         boolean own = lease.map(this::isOwn).orElse(false);
         if (!own) {
@@ -89,49 +95,52 @@
     }
 
     /** Returns the write that is due: a renewal, the first claim, or a takeover. */
-    public Optional<Claim> due(long nowMillis) {
+    public Optional<LeaseWrite> nextWrite(long nowMillis) {
         if (mHeld.isPresent()) {
             LeaseRecord old = mHeld.get().lease().record();
             return Optional.of(
-                    new Claim(
+                    new LeaseWrite(
                             new LeaseRecord(mSelf, old.fencingToken(), old.heartbeat() + 1),
                             OptionalLong.of(mHeld.get().lease().revision())));
         }
-        if (mSeen.isEmpty()) {
-            return Optional.of(new Claim(new LeaseRecord(mSelf, 1, 0), OptionalLong.empty()));
+        if (mObserved.isEmpty()) {
+            return Optional.of(new LeaseWrite(new LeaseRecord(mSelf, 1, 0), OptionalLong.empty()));
         }
-        boolean abandoned = nowMillis - mSeenSinceMillis >= TAKEOVER_MILLIS;
-        StoredLease old = mSeen.get();
+        boolean abandoned = nowMillis - mObservedSinceMillis >= TAKEOVER_MILLIS;
+        StoredLease old = mObserved.get();
         return abandoned
                 ? Optional.of(
-                        new Claim(
+                        new LeaseWrite(
                                 new LeaseRecord(mSelf, old.record().fencingToken() + 1, 0),
                                 OptionalLong.of(old.revision())))
                 : Optional.empty();
     }
 
     /**
-     * Takes in a write that the store has confirmed.
+     * Records a write that the store has confirmed.
      *
-     * @param lease as it lies there now
-     * @param sentMillis steady clock before the write was sent
-     * @param sentWallMillis time of day before the write was sent
+     * @param lease the stored lease
+     * @param sentMillis steady clock time before the write was sent
+     * @param sentWallMillis wall clock time before the write was sent
      */
-    public void written(StoredLease lease, long sentMillis, long sentWallMillis) {
-        mSeen = Optional.of(lease);
-        mSeenSinceMillis = sentMillis;
-        mHeld = Optional.of(new Held(lease, sentMillis, sentWallMillis));
+    public void confirmWrite(StoredLease lease, long sentMillis, long sentWallMillis) {
+        mObserved = Optional.of(lease);
+        mObservedSinceMillis = sentMillis;
+        mHeld = Optional.of(new HeldLease(lease, sentMillis, sentWallMillis));
     }
 
-    /** Takes in that a write was refused, or that its outcome is unknown: it must be read anew. */
-    public void notWritten() {
+    /**
+     * Records that a write was rejected or its outcome is unknown; the lease must be read again.
+     */
+    public void failWrite() {
         mHeld = Optional.empty();
     }
 
-    private boolean certain(Held held, long nowMillis, long wallMillis) {
+    private boolean isValid(HeldLease held, long nowMillis, long wallMillis) {
         long spent = nowMillis - held.sentMillis();
         long wallSpent = wallMillis - held.sentWallMillis();
-        return spent + ORDER_MILLIS <= HELD_MILLIS && Math.abs(wallSpent - spent) <= DRIFT_MILLIS;
+        return spent + ORDER_MARGIN_MILLIS <= LEASE_MILLIS
+                && Math.abs(wallSpent - spent) <= MAX_CLOCK_DRIFT_MILLIS;
     }
 
     private boolean isOwn(StoredLease lease) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/LeaseRecord.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/LeaseRecord.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.relay.role;
 
 /**
- * What the store keeps of the lease on giving orders.
+ * Stored content of the lease on issuing orders.
  *
- * @param holder one life of one host
- * @param fencingToken rises with each change of the holder
- * @param heartbeat rises with each renewal
+ * @param holder identifies one incarnation of one host
+ * @param fencingToken increases with each change of the holder
+ * @param heartbeat increases with each renewal
  */
 public record LeaseRecord(String holder, long fencingToken, long heartbeat) {
 
@@ -14,9 +14,9 @@
             throw new IllegalArgumentException(
                     "lease of "
                             + holder
-                            + " with fence "
+                            + " with fencing token "
                             + fencingToken
-                            + " and beat "
+                            + " and heartbeat "
                             + heartbeat);
         }
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/LeaseStore.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/LeaseStore.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
-/** Where the lease is kept; futures never fail. */
+/** Store of the lease; its futures never fail. */
 public interface LeaseStore {
 
-    /** Reads the lease; empty if there has never been one. */
+    /** Reads the lease; empty if none has been created yet. */
     CompletableFuture<Either<StoreFailure, Optional<StoredLease>>> read();
 
     /**
-     * Writes the lease on a condition.
+     * Writes the lease conditionally.
      *
-     * @param record what it is to say
-     * @param revision revision that it must have; empty if it must not be there
-     * @return empty if the condition did not hold
+     * @param record new content of the lease
+     * @param revision revision that the lease must have; empty if it must not exist
+     * @return the stored lease; empty if the condition did not hold
      */
     CompletableFuture<Either<StoreFailure, Optional<StoredLease>>> write(
             LeaseRecord record, OptionalLong revision);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
@@ -12,38 +12,46 @@
 import org.cyclamenpaddle.relay.backend.BackendStage;
 
 /**
- * How many of a service's engines should prefill, and which engine changes next.
+ * Calculates how many of a service's engines should prefill, and which engine changes next.
  *
  * <p>A prompt takes an engine's time; a generation takes its memory for as long as it runs. The
- * engines are divided so that both pools together carry the most generations in a second: an engine
- * too many on one side is one too few on the other, where callers then wait.
+ * engines are divided so that both pools together serve the maximum number of generations per
+ * second: each surplus engine in one pool is missing in the other, where callers then wait.
  */
 public final class RoleAllocation {
 
-    /** Share of its time that a prefill engine may be busy; at it, prompts wait twice as long. */
-    static final double PREFILL_BUSY = 0.8;
+    /**
+     * Maximum share of its time that a prefill engine is busy; at this share, prompts wait twice as
+     * long.
+     */
+    static final double MAX_PREFILL_UTILIZATION = 0.8;
 
-    /** Share of its memory that a decode engine may use, the rest being room for growth. */
-    static final double DECODE_BUSY = 0.85;
+    /**
+     * Maximum share of its memory that a decode engine may use; the rest is reserved for growth.
+     */
+    static final double MAX_DECODE_UTILIZATION = 0.85;
 
-    /** Engines of which one prefills until the demand is known. */
-    static final int ENGINES_PER_READER = 5;
+    /** Number of engines per prefill engine until the demand is known. */
+    static final int INITIAL_ENGINES_PER_PREFILL_ENGINE = 5;
 
     /**
-     * How much more a split must carry than the present one before an engine changes.
+     * Factor by which the throughput of a new split must exceed that of the current one before an
+     * engine changes.
      *
-     * <p>Safeguard: a changing engine serves nobody for some seconds. Without a margin the plan
-     * would follow the noise of the demand and keep engines changing.
+     * <p>Safeguard: an engine that changes its stage serves no requests for some seconds. Without
+     * this margin the allocation would follow the noise in the demand and engines would change
+     * continually.
      */
-    static final double GAIN = 1.5;
+    static final double MIN_GAIN_FACTOR = 1.5;
 
     /**
-     * Returns the next change.
+     * Returns the next change of stage.
      *
-     * @param engines the service's engines, with the stages that they have or are changing to
-     * @param load what they have to carry; empty until it is known
+     * @param engines engines of the service, with their current or pending stages
+     * @param load load of a mean generation; empty until it is known
+     * @return the change; empty if none is needed
      */
-    public Optional<StageChange> next(List<Backend> engines, Optional<EngineLoad> load) {
+    public Optional<StageChange> nextChange(List<Backend> engines, Optional<EngineLoad> load) {
         if (engines.size() < 2) {
             return Optional.empty();
         }
@@ -57,26 +65,34 @@
                 : Optional.empty();
     }
 
-    /** Returns how many of {@code engines} should prefill; between 1 and all but one. */
+    /** Returns how many of {@code engines} should prefill, from 1 to all but one. */
     int wantedPrefill(int engines, int prefill, Optional<EngineLoad> load) {
         if (load.isEmpty()) {
-            return Math.max(1, (engines + ENGINES_PER_READER - 1) / ENGINES_PER_READER);
+            return Math.max(
+                    1,
+                    (engines + INITIAL_ENGINES_PER_PREFILL_ENGINE - 1)
+                            / INITIAL_ENGINES_PER_PREFILL_ENGINE);
         }
-        int best =
+        int bestSplit =
                 IntStream.range(1, engines)
                         .boxed()
-                        .max(Comparator.comparing(split -> carried(engines, split, load.get())))
+                        .max(
+                                Comparator.comparing(
+                                        split -> generationsPerMilli(engines, split, load.get())))
                         .orElse(1);
-        boolean possible = prefill >= 1 && prefill < engines;
-        double now = possible ? carried(engines, prefill, load.get()) : 0;
-        return carried(engines, best, load.get()) > now * GAIN ? best : prefill;
+        boolean valid = prefill >= 1 && prefill < engines;
+        double currentRate = valid ? generationsPerMilli(engines, prefill, load.get()) : 0;
+        return generationsPerMilli(engines, bestSplit, load.get()) > currentRate * MIN_GAIN_FACTOR
+                ? bestSplit
+                : prefill;
     }
 
-    /** Returns the generations that a split carries in a millisecond. */
-    static double carried(int engines, int prefill, EngineLoad load) {
-        double read = prefill * PREFILL_BUSY / load.readMillis();
-        double run = (engines - prefill) * DECODE_BUSY / load.memoryMillis();
-        return Math.min(read, run);
+    /** Returns the generations per millisecond that a split can serve. */
+    static double generationsPerMilli(int engines, int prefill, EngineLoad load) {
+        double prefillRate = prefill * MAX_PREFILL_UTILIZATION / load.prefillMillis();
+        double decodeRate =
+                (engines - prefill) * MAX_DECODE_UTILIZATION / load.decodeMemoryMillis();
+        return Math.min(prefillRate, decodeRate);
     }
 
     private static Optional<StageChange> change(
@@ -85,11 +101,13 @@
                 engines.stream()
                         .filter(engine -> engine.stage() == from)
                         .collect(Collectors.groupingBy(Backend::domain, Collectors.counting()));
-        // From where most are, so that every failure domain keeps both kinds as long as it can.
-        Function<Backend, Long> inDomain = engine -> perDomain.get(engine.domain());
+        // Prefer the domain with most engines of this stage, so that each domain keeps both stages
+        // as long
+        // as possible.
+        Function<Backend, Long> enginesInDomain = engine -> perDomain.get(engine.domain());
         return engines.stream()
                 .filter(engine -> engine.stage() == from)
-                .max(Comparator.comparing(inDomain).thenComparing(Backend::id))
+                .max(Comparator.comparing(enginesInDomain).thenComparing(Backend::id))
                 .map(engine -> new StageChange(engine, to));
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
@@ -22,54 +22,61 @@
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
- * Controller that keeps the lease and, while it holds it, brings engines in line with the plan.
+ * Controller that maintains the lease and, while it holds the lease, reconciles the stages of the
+ * engines with the wanted allocation.
  *
- * <p>Everything runs on one thread; at most one call to the store and one order are under way.
+ * <p>Everything runs on one thread; at most one store call and one order are in progress.
  */
 public final class RoleController {
 
-    /** Pause between two looks of the holder, in milliseconds; a third of its lease. */
-    static final long HOLDER_MILLIS = 1_000;
+    /**
+     * Interval between two rounds of the lease holder, in milliseconds; a third of the lease
+     * duration.
+     */
+    static final long HOLDER_INTERVAL_MILLIS = 1_000;
 
-    /** Pause between two looks of the others, in milliseconds; a missing holder is no hurry. */
-    static final long OTHERS_MILLIS = 5_000;
+    /**
+     * Interval between two rounds of the other hosts, in milliseconds; long because a missing
+     * holder is not urgent.
+     */
+    static final long STANDBY_INTERVAL_MILLIS = 5_000;
 
-    /** Spread of the first looks of hosts that start together, in milliseconds. */
-    static final long START_SPREAD_MILLIS = 3_000;
+    /** Jitter of the first round of hosts that start together, in milliseconds. */
+    static final long START_JITTER_MILLIS = 3_000;
 
     /**
-     * How long an ordered change counts as under way, as a multiple of the time that it takes: the
-     * engine first ends what it runs, and its entry follows with its next heartbeat.
+     * Time for which an ordered change counts as pending, as a multiple of its expected duration:
+     * the engine first completes what it runs, and its entry follows with its next heartbeat.
      */
-    private static final int CHANGE_TIMES = 2;
+    private static final int CHANGE_TIMEOUT_FACTOR = 2;
 
-    private record Ordered(BackendStage stage, long untilMillis) {}
+    private record PendingChange(BackendStage stage, long untilMillis) {}
 
     /**
-     * What the keeper works with.
+     * Collaborators of the controller.
      *
-     * @param board backend servers
-     * @param demand of generations
-     * @param plan of stages
-     * @param orders to engines
-     * @param store of the lease
-     * @param log decision lines
+     * @param board registry of the backend servers
+     * @param demand demand of the generations
+     * @param plan allocation of stages
+     * @param orders client for orders to engines
+     * @param store store of the lease
+     * @param log decision log
      */
     public record Dependencies(
-            BackendRegistry board,
+            BackendRegistry registry,
             DemandMeter demand,
-            RoleAllocation plan,
+            RoleAllocation allocation,
             EngineOrders orders,
             LeaseStore store,
             DecisionLog log) {}
 
-    /** The services whose engines are kept in line, with the shapes of their engines. */
+    /** Supplies the services whose engines are managed, with the profiles of their engines. */
     public interface EngineServices {
         Map<ServiceName, EngineProfile> current();
     }
 
     private final String mSelf;
-    private final Dependencies mParts;
+    private final Dependencies mDependencies;
     private final EngineServices mServices;
     private final ScheduledExecutorService mExecutor;
     private final Clock mClock;
@@ -77,22 +84,22 @@
     private final DoubleSupplier mRandom;
     private final Lease mLease;
     private final StableEngines mEngines = new StableEngines();
-    private final Map<BackendId, Ordered> mOrdered = new HashMap<>();
+    private final Map<BackendId, PendingChange> mPendingChanges = new HashMap<>();
 
     /**
-     * Creates a keeper; {@link #start} begins.
+     * Creates a controller; {@link #start} starts it.
      *
-     * @param self names this life of this host
-     * @param parts what it works with
-     * @param services whose engines it keeps
+     * @param self identifies this incarnation of this host
+     * @param dependencies collaborators of the controller
+     * @param services services whose engines it manages
      * @param executor a single thread
      * @param clock steady clock
-     * @param wallClock time of day in milliseconds
-     * @param random even draws from 0 to 1
+     * @param wallClock wall clock in milliseconds
+     * @param random uniformly distributed values from 0 to 1
      */
     public RoleController(
             String self,
-            Dependencies parts,
+            Dependencies dependencies,
             EngineServices services,
             ScheduledExecutorService executor,
             Clock clock,
@@ -100,7 +107,7 @@
             DoubleSupplier random) {
         mRandom = random;
         mSelf = self;
-        mParts = parts;
+        mDependencies = dependencies;
         mServices = services;
         mExecutor = executor;
         mClock = clock;
@@ -109,139 +116,151 @@
     }
 
     /**
-     * Begins to look after the lease.
+     * Starts the controller.
      *
-     * <p>Hosts that start together would all try to create it; spread, most find it there.
+     * <p>Hosts that start together would all try to create the lease; with jitter, most of them
+     * find it already there.
      */
     public void start() {
-        later(HOLDER_MILLIS + (long) (mRandom.getAsDouble() * START_SPREAD_MILLIS));
+        scheduleNext(HOLDER_INTERVAL_MILLIS + (long) (mRandom.getAsDouble() * START_JITTER_MILLIS));
     }
 
-    private void look() {
+    private void poll() {
         if (mServices.current().isEmpty()) {
-            later(OTHERS_MILLIS);
+            scheduleNext(STANDBY_INTERVAL_MILLIS);
         } else if (mLease.isHolder()) {
-            claim();
+            acquireOrRenew();
         } else {
-            mParts.store().read().thenAcceptAsync(this::read, mExecutor);
+            mDependencies.store().read().thenAcceptAsync(this::handleLease, mExecutor);
         }
     }
 
-    private void read(Either<StoreFailure, Optional<StoredLease>> lease) {
+    private void handleLease(Either<StoreFailure, Optional<StoredLease>> lease) {
         if (lease.isLeft()) {
-            later(OTHERS_MILLIS);
+            scheduleNext(STANDBY_INTERVAL_MILLIS);
             return;
         }
-        mLease.seen(lease.get(), mClock.millis());
-        claim();
+        mLease.observe(lease.get(), mClock.millis());
+        acquireOrRenew();
     }
 
-    private void claim() {
-        Optional<Lease.Claim> claim = mLease.due(mClock.millis());
-        if (claim.isEmpty()) {
-            later(OTHERS_MILLIS);
+    private void acquireOrRenew() {
+        Optional<Lease.LeaseWrite> write = mLease.nextWrite(mClock.millis());
+        if (write.isEmpty()) {
+            scheduleNext(STANDBY_INTERVAL_MILLIS);
             return;
         }
-        long sent = mClock.millis();
-        long sentWall = mWallClock.getAsLong();
-        mParts.store()
-                .write(claim.get().record(), claim.get().revision())
-                .thenAcceptAsync(result -> claimed(result, sent, sentWall), mExecutor);
+        long sentMillis = mClock.millis();
+        long sentWallMillis = mWallClock.getAsLong();
+        mDependencies
+                .store()
+                .write(write.get().record(), write.get().revision())
+                .thenAcceptAsync(
+                        result -> handleWriteResult(result, sentMillis, sentWallMillis), mExecutor);
     }
 
-    private void claimed(
-            Either<StoreFailure, Optional<StoredLease>> result, long sent, long sentWall) {
-        boolean before = mLease.isHolder();
+    private void handleWriteResult(
+            Either<StoreFailure, Optional<StoredLease>> result,
+            long sentMillis,
+            long sentWallMillis) {
+        boolean wasHolder = mLease.isHolder();
         if (result.isRight() && result.get().isPresent()) {
-            mLease.written(result.get().get(), sent, sentWall);
+            mLease.confirmWrite(result.get().get(), sentMillis, sentWallMillis);
         } else {
-            mLease.notWritten();
+            mLease.failWrite();
         }
-        if (before != mLease.isHolder()) {
-            String why = result.isLeft() ? result.getLeft().name() : "condition";
-            mParts.log().log(RelayEvent.LEASE_CHANGED, mLease.isHolder(), why);
+        if (wasHolder != mLease.isHolder()) {
+            String reason = result.isLeft() ? result.getLeft().name() : "condition";
+            mDependencies.log().log(RelayEvent.LEASE_CHANGED, mLease.isHolder(), reason);
         }
         if (mLease.isHolder()) {
-            plan();
+            reconcile();
         } else {
-            later(OTHERS_MILLIS);
+            scheduleNext(STANDBY_INTERVAL_MILLIS);
         }
     }
 
-    private void plan() {
-        mOrdered.values().removeIf(ordered -> ordered.untilMillis() <= mClock.millis());
+    private void reconcile() {
+        mPendingChanges.values().removeIf(pending -> pending.untilMillis() <= mClock.millis());
         Optional<StageChange> change =
                 mServices.current().entrySet().stream()
-                        .flatMap(entry -> next(entry.getKey(), entry.getValue()).stream())
+                        .flatMap(entry -> nextChange(entry.getKey(), entry.getValue()).stream())
                         .findFirst();
         if (change.isEmpty()) {
-            later(HOLDER_MILLIS);
+            scheduleNext(HOLDER_INTERVAL_MILLIS);
             return;
         }
-        mParts.orders()
+        mDependencies
+                .orders()
                 .acceptedOrders(change.get().engine())
-                .thenAcceptAsync(accepted -> order(change.get(), accepted), mExecutor);
+                .thenAcceptAsync(accepted -> sendOrder(change.get(), accepted), mExecutor);
     }
 
-    private Optional<StageChange> next(ServiceName service, EngineProfile shape) {
+    private Optional<StageChange> nextChange(ServiceName service, EngineProfile profile) {
         List<Backend> engines =
-                mParts.board().usable(service).stream().map(this::withOrderedStage).toList();
-        boolean settled = mEngines.settled(service, engines, mClock.millis());
+                mDependencies.registry().usable(service).stream()
+                        .map(this::withPendingStage)
+                        .toList();
+        boolean stable = mEngines.isStable(service, engines, mClock.millis());
         boolean staged = engines.stream().allMatch(engine -> engine.stage() != BackendStage.WHOLE);
-        return settled && staged
-                ? mParts.plan().next(engines, load(service, shape))
+        return stable && staged
+                ? mDependencies.allocation().nextChange(engines, load(service, profile))
                 : Optional.empty();
     }
 
-    private Optional<EngineLoad> load(ServiceName service, EngineProfile shape) {
-        double speed = mParts.board().prefillTokensPerMilli(service);
-        return mParts.demand().of(service).map(demand -> EngineLoad.of(demand, shape, speed));
+    private Optional<EngineLoad> load(ServiceName service, EngineProfile profile) {
+        double tokensPerMilli = mDependencies.registry().prefillTokensPerMilli(service);
+        return mDependencies
+                .demand()
+                .of(service)
+                .map(demand -> EngineLoad.of(demand, profile, tokensPerMilli));
     }
 
-    private Backend withOrderedStage(Backend engine) {
-        return Optional.ofNullable(mOrdered.get(engine.id()))
-                .map(ordered -> engine.withStage(ordered.stage()))
+    private Backend withPendingStage(Backend engine) {
+        return Optional.ofNullable(mPendingChanges.get(engine.id()))
+                .map(pending -> engine.withStage(pending.stage()))
                 .orElse(engine);
     }
 
-    private void order(StageChange change, Either<String, Long> accepted) {
-        OptionalLong fence = mLease.fence(mClock.millis(), mWallClock.getAsLong());
-        if (accepted.isLeft() || fence.isEmpty()) {
-            String why = accepted.isLeft() ? accepted.getLeft() : "lease not certain";
-            mParts.log().log(
+    private void sendOrder(StageChange change, Either<String, Long> accepted) {
+        OptionalLong fencingToken = mLease.fencingToken(mClock.millis(), mWallClock.getAsLong());
+        if (accepted.isLeft() || fencingToken.isEmpty()) {
+            String reason = accepted.isLeft() ? accepted.getLeft() : "lease not certain";
+            mDependencies.log().log(
                     RelayEvent.ORDER_ENDED,
                     change.engine().id(),
                     change.stage(),
-                    fence.orElse(0),
-                    why);
-            later(HOLDER_MILLIS);
+                    fencingToken.orElse(0),
+                    reason);
+            scheduleNext(HOLDER_INTERVAL_MILLIS);
             return;
         }
-        mOrdered.put(
+        mPendingChanges.put(
                 change.engine().id(),
-                new Ordered(change.stage(), mClock.millis() + changeMillis(change.engine())));
-        mParts.orders()
-                .order(change, mSelf, fence.getAsLong(), accepted.get())
+                new PendingChange(change.stage(), mClock.millis() + changeMillis(change.engine())));
+        mDependencies
+                .orders()
+                .order(change, mSelf, fencingToken.getAsLong(), accepted.get())
                 .thenAcceptAsync(
-                        answer -> {
-                            mParts.log().log(
+                        response -> {
+                            mDependencies.log().log(
                                     RelayEvent.ORDER_ENDED,
                                     change.engine().id(),
                                     change.stage(),
-                                    fence.getAsLong(),
-                                    answer);
-                            later(HOLDER_MILLIS);
+                                    fencingToken.getAsLong(),
+                                    response);
+                            scheduleNext(HOLDER_INTERVAL_MILLIS);
                         },
                         mExecutor);
     }
 
     private long changeMillis(Backend engine) {
         return Optional.ofNullable(mServices.current().get(engine.service()))
-                .map(shape -> CHANGE_TIMES * shape.stageSwitchMillis())
+                .map(profile -> CHANGE_TIMEOUT_FACTOR * profile.stageSwitchMillis())
                 .orElse(0L);
     }
 
-    private void later(long millis) {
-        mExecutor.schedule(this::look, millis, TimeUnit.MILLISECONDS);
+    private void scheduleNext(long millis) {
+        mExecutor.schedule(this::poll, millis, TimeUnit.MILLISECONDS);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StableEngines.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StableEngines.java
@@ -11,33 +11,34 @@
 import org.cyclamenpaddle.relay.backend.Backend;
 
 /**
- * Knows since when each service has had the engines that it has; not thread-safe.
+ * Tracks since when the set of engines of each service has been unchanged; not thread-safe.
  *
- * <p>Safeguard: at the start of a deployment engines register one after another. A plan made from
- * the first of them ordered one to prefill and, seconds later, back; an engine that changes serves
- * nobody for six seconds, and the callers of that time found too few places.
+ * <p>Safeguard: when a deployment starts, engines register one after another. An allocation based
+ * on the first of them ordered one engine to prefill and, seconds later, back to decode; an engine
+ * that changes its stage serves no requests for six seconds, and callers then found too little
+ * capacity.
  */
 final class StableEngines {
 
     /**
-     * How long a service's engines must have been the same before they are planned with, in
-     * milliseconds: two of their heartbeats, in which all that live have registered.
+     * Time for which a service's engines must be unchanged before they are allocated, in
+     * milliseconds: two heartbeats of the engines, in which all running ones have registered.
      */
-    static final long SETTLED_MILLIS = 2_500;
+    static final long STABILIZATION_MILLIS = 2_500;
 
-    private record Seen(Set<BackendId> engines, long sinceMillis) {}
+    private record Observation(Set<BackendId> engines, long sinceMillis) {}
 
-    private final Map<ServiceName, Seen> mSeen = new HashMap<>();
+    private final Map<ServiceName, Observation> mObservations = new HashMap<>();
 
-    /** Notes a service's engines and returns whether they have been these for long enough. */
-    boolean settled(ServiceName service, List<Backend> engines, long nowMillis) {
+    /** Records a service's engines and returns whether they have been unchanged for long enough. */
+    boolean isStable(ServiceName service, List<Backend> engines, long nowMillis) {
         Set<BackendId> ids =
                 engines.stream().map(Backend::id).collect(Collectors.toCollection(HashSet::new));
-        Seen seen =
-                mSeen.merge(
+        Observation observation =
+                mObservations.merge(
                         service,
-                        new Seen(ids, nowMillis),
-                        (old, now) -> old.engines().equals(now.engines()) ? old : now);
-        return nowMillis - seen.sinceMillis() >= SETTLED_MILLIS;
+                        new Observation(ids, nowMillis),
+                        (old, current) -> old.engines().equals(current.engines()) ? old : current);
+        return nowMillis - observation.sinceMillis() >= STABILIZATION_MILLIS;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StageChange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StageChange.java
@@ -4,9 +4,9 @@
 import org.cyclamenpaddle.relay.backend.BackendStage;
 
 /**
- * A change of one engine's stage.
+ * Change of one engine's stage.
  *
  * @param engine the engine
- * @param stage what it is to do
+ * @param stage its new stage
  */
 public record StageChange(Backend engine, BackendStage stage) {}
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StoredLease.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/StoredLease.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.relay.role;
 
 /**
- * A lease as it lies in the store.
+ * Lease as stored.
  *
- * @param record what it says
- * @param revision the store's revision of it, for conditional writes
+ * @param record content of the lease
+ * @param revision its revision in the store, for conditional writes
  */
 public record StoredLease(LeaseRecord record, long revision) {}
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/package-info.java
@@ -1,2 +1,5 @@
-/** Which engines prefill and which decode: the plan, the lease on giving orders, the orders. */
+/**
+ * Assignment of engines to prefill and decode: the allocation, the lease on issuing orders, the
+ * orders.
+ */
 package org.cyclamenpaddle.relay.role;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/EngineProfile.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/EngineProfile.java
@@ -1,14 +1,16 @@
 package org.cyclamenpaddle.relay.route;
 
 /**
- * What the engines of a service can hold.
+ * Capacity and timing of the engines of a service.
  *
- * @param slots requests that run at once
- * @param memoryTokens tokens that an engine's memory holds
- * @param kvHandleTtlMillis how long the result of a prefill is kept for a decode engine
- * @param maxReservationMillis longest time for which an engine keeps a place
- * @param tokensPerEvent tokens that one event of a stream stands for
- * @param stageSwitchMillis how long an engine serves nobody while it changes its stage
+ * @param slots maximum number of concurrent requests
+ * @param memoryTokens number of tokens that an engine's memory can hold
+ * @param kvHandleTtlMillis time for which a prefill result stays available to a decode engine, in
+ *     milliseconds
+ * @param maxReservationMillis maximum duration of a reservation, in milliseconds
+ * @param tokensPerEvent number of tokens that one event of a stream represents
+ * @param stageSwitchMillis time for which an engine serves no requests while it changes its stage,
+ *     in milliseconds
  */
 public record EngineProfile(
         int slots,
@@ -21,15 +23,15 @@
     public EngineProfile {
         if (slots < 1 || memoryTokens < 1 || kvHandleTtlMillis < 0) {
             throw new IllegalArgumentException(
-                    "engine of " + slots + " slots and " + memoryTokens + " tokens");
+                    "engine has " + slots + " slots and memory for " + memoryTokens + " tokens");
         }
         if (maxReservationMillis < 0 || tokensPerEvent < 1 || stageSwitchMillis < 0) {
             throw new IllegalArgumentException(
-                    "engine keeps places for "
+                    "engine has reservations of "
                             + maxReservationMillis
-                            + " ms, makes events of "
+                            + " ms, events of "
                             + tokensPerEvent
-                            + " tokens and changes in "
+                            + " tokens and a stage switch of "
                             + stageSwitchMillis
                             + " ms");
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RelayConfiguration.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RelayConfiguration.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.ServiceName;
 
-/** One version of the routes and services, whole and unchanging. */
+/** Immutable snapshot of one version of the routes and services. */
 public final class RelayConfiguration {
 
     private static final Comparator<Route> LONGEST_PREFIX_FIRST =
@@ -22,9 +22,9 @@
     /**
      * Creates a version.
      *
-     * @param version rises with each change, in uneven steps
-     * @param routes in any order
-     * @param services each under a name of its own
+     * @param version version number; increases with each change, not necessarily by one
+     * @param routes routes in any order
+     * @param services services with distinct names
      */
     public RelayConfiguration(long version, List<Route> routes, List<ServicePolicy> services) {
         mVersion = version;
@@ -61,7 +61,7 @@
                 .findFirst();
     }
 
-    /** Returns the services that engines serve, with the shapes of their engines. */
+    /** Returns the services with engines and the profiles of their engines. */
     public Map<ServiceName, EngineProfile> engineProfiles() {
         return mServices.values().stream()
                 .filter(service -> service.engine().isPresent())
@@ -70,7 +70,7 @@
                                 ServicePolicy::name, service -> service.engine().orElseThrow()));
     }
 
-    /** Returns the shape of a service's engines; empty for a plain or unknown service. */
+    /** Returns the profile of a service's engines; empty for a plain or unknown service. */
     public Optional<EngineProfile> engineProfile(ServiceName service) {
         return Optional.ofNullable(mServices.get(service)).flatMap(ServicePolicy::engine);
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
@@ -5,19 +5,20 @@
 import org.cyclamenpaddle.routing.reservation.CallerTerms;
 
 /**
- * Where requests of one host name and path prefix go, and how they may be treated.
+ * Destination and treatment of requests with one host name and path prefix.
  *
- * @param name for logs
+ * @param name name in logs
  * @param host host name in lower case, without a port
- * @param pathPrefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis longest time that a caller is kept waiting
- * @param targetMillis time within which an answer, or a stream's first event, is on time
- * @param silenceMillis time without an event after which callers leave a stream
- * @param priority rank of the requests; 0 is the highest
- * @param services the services behind it, at least one with a weight above 0
- * @param maxAttempts backend servers that one attempt of a caller may be sent to
- * @param resumable whether a stream may go on at another backend server
+ * @param pathPrefix prefix of the path; begins and ends with a slash
+ * @param kind determines whether requests may be repeated
+ * @param timeoutMillis maximum time that a caller waits, in milliseconds
+ * @param targetMillis time within which a response, or the first event of a stream, is on time, in
+ *     milliseconds
+ * @param silenceMillis time without an event after which callers abandon a stream, in milliseconds
+ * @param priority priority of the requests; 0 is the highest
+ * @param services services that handle the requests; at least one has a weight above 0
+ * @param maxAttempts maximum number of backend servers that one attempt of a caller may be sent to
+ * @param resumable whether a stream may resume on another backend server
  */
 public record Route(
         String name,
@@ -38,18 +39,22 @@
         }
         if (pathPrefix == null || !pathPrefix.startsWith("/") || !pathPrefix.endsWith("/")) {
             throw new IllegalArgumentException(
-                    "prefix '" + pathPrefix + "' must begin and end with a slash");
+                    "path prefix '" + pathPrefix + "' must begin and end with a slash");
         }
         if (timeoutMillis < 1 || targetMillis < 0 || silenceMillis < 0 || maxAttempts < 1) {
-            throw new IllegalArgumentException("route " + name + " has a figure out of range");
+            throw new IllegalArgumentException(
+                    "route "
+                            + name
+                            + " has a timeout, target, silence or attempt limit out of range");
         }
         services = List.copyOf(services);
         if (services.stream().mapToInt(WeightedService::weight).sum() < 1) {
-            throw new IllegalArgumentException("route " + name + " leads to no service");
+            throw new IllegalArgumentException(
+                    "route " + name + " needs a service with a weight above 0");
         }
     }
 
-    /** Returns what callers accept. */
+    /** Returns the latency that callers accept. */
     public CallerTerms terms() {
         return new CallerTerms(targetMillis, silenceMillis);
     }
@@ -60,9 +65,9 @@
     }
 
     /**
-     * Returns the service that a draw falls on.
+     * Returns the service selected by a random value.
      *
-     * @param draw evenly distributed from 0, inclusive, to 1, exclusive
+     * @param draw uniformly distributed from 0, inclusive, to 1, exclusive
      */
     public ServiceName serviceFor(double draw) {
         int total = services.stream().mapToInt(WeightedService::weight).sum();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/ServicePolicy.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/ServicePolicy.java
@@ -4,16 +4,17 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * What the operators say of a service.
+ * Configuration of a service.
  *
- * @param name the service
- * @param engine shape of its engines; empty for a plain service
+ * @param name name of the service
+ * @param engine profile of its engines; empty for a plain service
  */
 public record ServicePolicy(ServiceName name, Optional<EngineProfile> engine) {
 
     public ServicePolicy {
         if (name == null || engine == null) {
-            throw new IllegalArgumentException("service needs a name");
+            throw new IllegalArgumentException(
+                    "service needs a name and an optional engine profile");
         }
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/WeightedService.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/WeightedService.java
@@ -3,10 +3,10 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * One of the services that a route's requests are spread over.
+ * Service that receives a share of the requests of a route.
  *
  * @param service the service
- * @param weight its share of the requests, against the sum of the route's weights
+ * @param weight its weight, relative to the sum of the route's weights
  */
 public record WeightedService(ServiceName service, int weight) {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/package-info.java
@@ -1,2 +1,2 @@
-/** Routes, services and limits as the operators configure them. */
+/** Routes, services and limits as configured by the operators. */
 package org.cyclamenpaddle.relay.route;
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/LeaseTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/LeaseTest.java
@@ -13,39 +13,39 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Tests that two hosts never order engines within one another's time. */
+/** Tests that two hosts never issue orders within the conflict interval of the engines. */
 public class LeaseTest {
 
-    /** Engines count two holders as fighting when they take turns within this time. */
-    private static final long APART_MILLIS = 3_000;
+    /** Engines treat two holders as conflicting if their orders alternate within this time. */
+    private static final long MIN_ORDER_GAP_MILLIS = 3_000;
 
-    /** A store that takes conditional writes; answers can be lost on the way back. */
+    /** Store with conditional writes; its responses can be lost. */
     private static final class Store {
         private Optional<StoredLease> mLease = Optional.empty();
         private long mRevision = 10;
 
-        Optional<StoredLease> write(Lease.Claim claim) {
+        Optional<StoredLease> write(Lease.LeaseWrite write) {
             OptionalLong now =
                     mLease.isPresent()
                             ? OptionalLong.of(mLease.get().revision())
                             : OptionalLong.empty();
-            if (!now.equals(claim.revision())) {
+            if (!now.equals(write.revision())) {
                 return Optional.empty();
             }
             mRevision++;
-            mLease = Optional.of(new StoredLease(claim.record(), mRevision));
+            mLease = Optional.of(new StoredLease(write.record(), mRevision));
             return mLease;
         }
     }
 
     private static void renew(Lease lease, Store store, long now) {
-        lease.due(now)
+        lease.nextWrite(now)
                 .ifPresent(
-                        claim ->
-                                store.write(claim)
+                        write ->
+                                store.write(write)
                                         .ifPresentOrElse(
-                                                stored -> lease.written(stored, now, now),
-                                                lease::notWritten));
+                                                stored -> lease.confirmWrite(stored, now, now),
+                                                lease::failWrite));
     }
 
     @Test
@@ -53,67 +53,74 @@
         Store store = new Store();
         Lease first = new Lease("first");
         Lease second = new Lease("second");
-        first.seen(store.mLease, 0);
-        second.seen(store.mLease, 0);
+        first.observe(store.mLease, 0);
+        second.observe(store.mLease, 0);
         renew(first, store, 0);
         renew(second, store, 1);
-        assertTrue(first.fence(10, 10).isPresent());
+        assertTrue(first.fencingToken(10, 10).isPresent());
         assertFalse(second.isHolder());
-        second.seen(store.mLease, 100);
-        assertTrue(second.due(100 + Lease.TAKEOVER_MILLIS - 1).isEmpty());
-        assertTrue(second.due(100 + Lease.TAKEOVER_MILLIS).isPresent());
+        second.observe(store.mLease, 100);
+        assertTrue(second.nextWrite(100 + Lease.TAKEOVER_MILLIS - 1).isEmpty());
+        assertTrue(second.nextWrite(100 + Lease.TAKEOVER_MILLIS).isPresent());
     }
 
     @Test
     public void orderNeedsTimeLeftOnTheLease() {
         Store store = new Store();
         Lease lease = new Lease("h");
-        lease.seen(Optional.empty(), 0);
+        lease.observe(Optional.empty(), 0);
         renew(lease, store, 0);
-        long last = Lease.HELD_MILLIS - Lease.ORDER_MILLIS;
-        assertTrue(lease.fence(last, last).isPresent());
-        assertTrue(lease.fence(last + 1, last + 1).isEmpty());
+        long last = Lease.LEASE_MILLIS - Lease.ORDER_MARGIN_MILLIS;
+        assertTrue(lease.fencingToken(last, last).isPresent());
+        assertTrue(lease.fencingToken(last + 1, last + 1).isEmpty());
     }
 
     /**
-     * The holder is frozen for ten seconds, in which its steady clock stands still, and wakes just
-     * before an order. By its steady clock the lease is fresh; the time of day shows the truth.
+     * The holder is suspended for ten seconds, in which its steady clock stops, and resumes just
+     * before an order. By its steady clock the lease is valid; the wall clock shows that it has
+     * expired.
      */
     @Test
     public void frozenHolderDoesNotOrderWhenItWakes() {
         Store store = new Store();
         Lease lease = new Lease("h");
-        lease.seen(Optional.empty(), 0);
+        lease.observe(Optional.empty(), 0);
         renew(lease, store, 0);
-        assertTrue(lease.fence(20, 10_020).isEmpty());
+        assertTrue(lease.fencingToken(20, 10_020).isEmpty());
     }
 
-    /** The answer to a renewal is lost: the host does not know what lies in the store now. */
+    /**
+     * The response to a renewal is lost: the host does not know the state of the lease in the
+     * store.
+     */
     @Test
-    public void lostAnswerEndsTheRightToOrder() {
+    public void lostResponseEndsTheRightToOrder() {
         Store store = new Store();
         Lease lease = new Lease("h");
-        lease.seen(Optional.empty(), 0);
+        lease.observe(Optional.empty(), 0);
         renew(lease, store, 0);
-        store.write(lease.due(1_000).orElseThrow());
-        lease.notWritten();
-        assertTrue(lease.fence(1_010, 1_010).isEmpty());
-        lease.seen(store.mLease, 2_000);
-        assertTrue(lease.due(2_000).isEmpty(), "its own lost write is another holder's to it");
+        store.write(lease.nextWrite(1_000).orElseThrow());
+        lease.failWrite();
+        assertTrue(lease.fencingToken(1_010, 1_010).isEmpty());
+        lease.observe(store.mLease, 2_000);
+        assertTrue(
+                lease.nextWrite(2_000).isEmpty(),
+                "it treats its own unconfirmed write as another holder's");
     }
 
     /**
-     * Four hosts with random pauses, lost answers and restarts on one store. Orders of different
-     * hosts are always further apart than engines ask for, and fences never go back.
+     * Four hosts with random suspensions, lost responses and restarts share one store. Orders of
+     * different hosts are always further apart than the engines require, and fencing tokens never
+     * decrease.
      */
     @Test
-    public void randomHostsNeverTakeTurns() {
+    public void randomHostsNeverAlternateOrders() {
         for (int seed = 0; seed < 200; seed++) {
-            play(new Random(seed), seed);
+            simulate(new Random(seed), seed);
         }
     }
 
-    private static void play(Random random, int seed) {
+    private static void simulate(Random random, int seed) {
         Store store = new Store();
         List<Lease> hosts = new ArrayList<>();
         Map<Lease, Long> frozenUntil = new HashMap<>();
@@ -123,7 +130,7 @@
         }
         Lease lastOrderer = null;
         long lastOrderAt = 0;
-        long lastFence = 0;
+        long lastFencingToken = 0;
         for (long now = 0; now < 120_000; now += 100) {
             int at = random.nextInt(4);
             Lease host = hosts.get(at);
@@ -141,48 +148,52 @@
             }
             long steady = now - frozenFor.getOrDefault(host, 0L);
             step(host, store, steady, now, random);
-            OptionalLong fence = host.fence(steady, now);
-            if (fence.isPresent()) {
+            OptionalLong fencingToken = host.fencingToken(steady, now);
+            if (fencingToken.isPresent()) {
                 boolean same = host == lastOrderer;
                 assertTrue(
-                        same || lastOrderer == null || now - lastOrderAt > APART_MILLIS,
+                        same || lastOrderer == null || now - lastOrderAt > MIN_ORDER_GAP_MILLIS,
                         "seed " + seed + ": orders " + (now - lastOrderAt) + " ms apart");
-                assertTrue(same ? fence.getAsLong() >= lastFence : fence.getAsLong() > lastFence);
+                assertTrue(
+                        same
+                                ? fencingToken.getAsLong() >= lastFencingToken
+                                : fencingToken.getAsLong() > lastFencingToken);
                 lastOrderer = host;
-                lastOrderAt = now + Lease.ORDER_MILLIS;
-                lastFence = fence.getAsLong();
+                lastOrderAt = now + Lease.ORDER_MARGIN_MILLIS;
+                lastFencingToken = fencingToken.getAsLong();
             }
         }
-        assertTrue(lastFence > 0, "nobody ever held the lease");
+        assertTrue(lastFencingToken > 0, "no host ever held the lease");
     }
 
     private static void step(Lease host, Store store, long steady, long wall, Random random) {
         if (!host.isHolder()) {
-            host.seen(store.mLease, steady);
+            host.observe(store.mLease, steady);
         }
-        Optional<Lease.Claim> claim = host.due(steady);
-        if (claim.isEmpty()) {
+        Optional<Lease.LeaseWrite> write = host.nextWrite(steady);
+        if (write.isEmpty()) {
             return;
         }
-        Optional<StoredLease> stored = store.write(claim.get());
+        Optional<StoredLease> stored = store.write(write.get());
         if (stored.isPresent() && random.nextInt(10) > 0) {
-            host.written(stored.get(), steady, wall);
+            host.confirmWrite(stored.get(), steady, wall);
         } else {
-            host.notWritten();
+            host.failWrite();
         }
     }
 
     @Test
-    public void fenceRisesWithTheHolder() {
+    public void fencingTokenRisesWithTheHolder() {
         Store store = new Store();
         Lease first = new Lease("first");
-        first.seen(Optional.empty(), 0);
+        first.observe(Optional.empty(), 0);
         renew(first, store, 0);
         Lease second = new Lease("second");
-        second.seen(store.mLease, 0);
+        second.observe(store.mLease, 0);
         renew(second, store, Lease.TAKEOVER_MILLIS);
-        assertEquals(second.fence(Lease.TAKEOVER_MILLIS, Lease.TAKEOVER_MILLIS).orElse(0), 2);
-        first.seen(store.mLease, Lease.TAKEOVER_MILLIS);
+        assertEquals(
+                second.fencingToken(Lease.TAKEOVER_MILLIS, Lease.TAKEOVER_MILLIS).orElse(0), 2);
+        first.observe(store.mLease, Lease.TAKEOVER_MILLIS);
         assertFalse(first.isHolder());
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
@@ -16,11 +16,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests the split of engines under the loads of the users' heaviest hours.
+ * Tests the split of engines under the loads of the users' busiest hours.
  *
- * <p>Pattern: steady generations with bursts of twice the rate for some seconds, on pools whose
- * supplied split leaves memory as the limit. Figures are those of the data sheets: 55 prompt tokens
- * in a millisecond, memories of 53,697 and 65,717 tokens, answers of 870 and 590 tokens.
+ * <p>Load: steady generations with bursts of twice the rate for some seconds, on pools whose
+ * supplied split makes memory the bottleneck. The figures come from the data sheets: 55 prompt
+ * tokens per millisecond, memories of 53,697 and 65,717 tokens, responses of 870 and 590 tokens.
  */
 public class RoleAllocationTest {
 
@@ -29,14 +29,14 @@
     private static final EngineProfile SMALL_POOL =
             new EngineProfile(64, 65_717, 500, 2_000, 8, 6_000);
 
-    private static final double TOKENS_READ_PER_MILLI = 55;
+    private static final double PREFILL_TOKENS_PER_MILLI = 55;
 
-    private final RoleAllocation mPlan = new RoleAllocation();
+    private final RoleAllocation mAllocation = new RoleAllocation();
 
     private static Optional<EngineLoad> load(
-            double output, double decodeMillis, EngineProfile shape) {
+            double output, double decodeMillis, EngineProfile profile) {
         Demand demand = new Demand(5_200, output, decodeMillis);
-        return Optional.of(EngineLoad.of(demand, shape, TOKENS_READ_PER_MILLI));
+        return Optional.of(EngineLoad.of(demand, profile, PREFILL_TOKENS_PER_MILLI));
     }
 
     private static List<Backend> engines(int prefill, int decode) {
@@ -57,74 +57,85 @@
         return engines;
     }
 
-    /** Applies changes until the plan is content, and returns the prefill engines left. */
-    private int settle(List<Backend> engines, Optional<EngineLoad> load) {
+    /** Applies changes until none is needed, and returns the number of prefill engines. */
+    private int converge(List<Backend> engines, Optional<EngineLoad> load) {
         List<Backend> now = new ArrayList<>(engines);
         for (int i = 0; i < 100; i++) {
-            Optional<StageChange> change = mPlan.next(now, load);
+            Optional<StageChange> change = mAllocation.nextChange(now, load);
             if (change.isEmpty()) {
                 return (int) now.stream().filter(e -> e.stage() == BackendStage.PREFILL).count();
             }
             now.remove(change.get().engine());
             now.add(change.get().engine().withStage(change.get().stage()));
         }
-        throw new AssertionError("the plan never rests");
+        throw new AssertionError("the allocation does not converge");
     }
 
-    /** Before anything is known of the load, memory is what binds; too many would only read. */
+    /**
+     * Before the load is known, memory is assumed to be the bottleneck; too many engines would only
+     * prefill.
+     */
     @Test
-    public void suppliedSplitIsBroughtInLineBeforeTheLoadIsKnown() {
-        assertEquals(settle(engines(5, 8), Optional.empty()), 3);
-        assertEquals(settle(engines(3, 3), Optional.empty()), 2);
-        assertEquals(settle(engines(3, 5), Optional.empty()), 2);
+    public void suppliedSplitIsCorrectedBeforeTheLoadIsKnown() {
+        assertEquals(converge(engines(5, 8), Optional.empty()), 3);
+        assertEquals(converge(engines(3, 3), Optional.empty()), 2);
+        assertEquals(converge(engines(3, 5), Optional.empty()), 2);
     }
 
-    /** The splits that carry most under the heaviest hours are kept once the load is known. */
+    /**
+     * The splits with the highest throughput in the busiest hours do not change once the load is
+     * known.
+     */
     @Test
     public void splitThatCarriesItsLoadIsKept() {
-        assertEquals(settle(engines(3, 10), load(870, 4_300, LARGE_POOL)), 3);
-        assertEquals(settle(engines(2, 4), load(590, 3_400, SMALL_POOL)), 2);
+        assertEquals(converge(engines(3, 10), load(870, 4_300, LARGE_POOL)), 3);
+        assertEquals(converge(engines(2, 4), load(590, 3_400, SMALL_POOL)), 2);
     }
 
     @Test
     public void poolWithoutPrefillGetsOne() {
-        assertTrue(settle(engines(0, 6), Optional.empty()) >= 1);
-        assertTrue(settle(engines(0, 6), load(590, 3_400, SMALL_POOL)) >= 1);
+        assertTrue(converge(engines(0, 6), Optional.empty()) >= 1);
+        assertTrue(converge(engines(0, 6), load(590, 3_400, SMALL_POOL)) >= 1);
     }
 
     @Test
-    public void poolOfOneIsLeftAlone() {
-        assertEquals(mPlan.next(engines(1, 0), Optional.empty()), Optional.empty());
+    public void poolOfOneIsNotChanged() {
+        assertEquals(mAllocation.nextChange(engines(1, 0), Optional.empty()), Optional.empty());
     }
 
     /**
-     * From any split the plan comes to rest, and no other split would carry much more than the one
-     * at which it rests: callers that wait have no idle engines beside them.
+     * From any split the allocation converges, and no other split would serve far more generations
+     * than the one at which it converges; otherwise callers would wait while engines idle.
      */
     @Test
-    public void everySplitComesToRestWhereNoOtherCarriesMuchMore() {
+    public void everySplitConvergesNearTheOptimum() {
         EngineLoad load = load(870, 4_300, LARGE_POOL).orElseThrow();
         for (int size = 2; size < 70; size++) {
             int engines = size;
             for (int prefill = 0; prefill <= size; prefill += Math.max(1, size / 5)) {
-                int left = settle(engines(prefill, size - prefill), Optional.of(load));
-                double best =
+                int prefillEngines = converge(engines(prefill, size - prefill), Optional.of(load));
+                double bestRate =
                         IntStream.range(1, size)
-                                .mapToDouble(split -> RoleAllocation.carried(engines, split, load))
+                                .mapToDouble(
+                                        split ->
+                                                RoleAllocation.generationsPerMilli(
+                                                        engines, split, load))
                                 .max()
                                 .orElseThrow();
                 assertTrue(
-                        RoleAllocation.carried(size, left, load) * RoleAllocation.GAIN >= best,
-                        size + " engines rest at " + left);
+                        RoleAllocation.generationsPerMilli(size, prefillEngines, load)
+                                        * RoleAllocation.MIN_GAIN_FACTOR
+                                >= bestRate,
+                        size + " engines converge at " + prefillEngines);
             }
         }
     }
 
-    /** Each failure domain keeps both kinds as long as it can, for it may be cut off. */
+    /** Each failure domain keeps both stages as long as possible, because it may be cut off. */
     @Test
-    public void engineChangesWhereMostOfItsKindAre() {
+    public void engineChangesInDomainWithMostOfItsStage() {
         List<Backend> engines = engines(5, 8);
-        Backend changed = mPlan.next(engines, Optional.empty()).orElseThrow().engine();
+        Backend changed = mAllocation.nextChange(engines, Optional.empty()).orElseThrow().engine();
         assertEquals(changed.domain().value(), "d0");
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/StableEnginesTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/StableEnginesTest.java
@@ -11,11 +11,11 @@
 import org.cyclamenpaddle.relay.backend.BackendStage;
 import org.testng.annotations.Test;
 
-/** Tests when a service's engines count as complete. */
+/** Tests when the set of a service's engines counts as stable. */
 public class StableEnginesTest {
 
     private static final ServiceName SERVICE = new ServiceName("reader");
-    private static final long WAIT = StableEngines.SETTLED_MILLIS;
+    private static final long WAIT_MILLIS = StableEngines.STABILIZATION_MILLIS;
 
     private final StableEngines mEngines = new StableEngines();
 
@@ -32,23 +32,23 @@
                 false);
     }
 
-    /*
-     * Engines of a new deployment register within a second and a half. Whoever plans with the first
-     * two orders one of them to prefill and a moment later back.
+    /**
+     * The engines of a new deployment register within a second and a half. An allocation based on
+     * the first two orders one of them to prefill and, a moment later, back.
      */
     @Test
-    public void eachEngineThatRegistersStartsTheWaitAgain() {
-        assertFalse(mEngines.settled(SERVICE, List.of(engine("a"), engine("b")), 0));
+    public void newEngineRestartsStabilization() {
+        assertFalse(mEngines.isStable(SERVICE, List.of(engine("a"), engine("b")), 0));
         List<Backend> all = List.of(engine("a"), engine("b"), engine("c"));
-        assertFalse(mEngines.settled(SERVICE, all, WAIT - 1));
-        assertFalse(mEngines.settled(SERVICE, all, 2 * WAIT - 2));
-        assertTrue(mEngines.settled(SERVICE, all, 2 * WAIT - 1));
+        assertFalse(mEngines.isStable(SERVICE, all, WAIT_MILLIS - 1));
+        assertFalse(mEngines.isStable(SERVICE, all, 2 * WAIT_MILLIS - 2));
+        assertTrue(mEngines.isStable(SERVICE, all, 2 * WAIT_MILLIS - 1));
     }
 
     @Test
-    public void engineThatLeavesStartsTheWaitAgain() {
-        mEngines.settled(SERVICE, List.of(engine("a"), engine("b")), 0);
-        assertTrue(mEngines.settled(SERVICE, List.of(engine("a"), engine("b")), WAIT));
-        assertFalse(mEngines.settled(SERVICE, List.of(engine("a")), WAIT + 1));
+    public void removedEngineRestartsStabilization() {
+        mEngines.isStable(SERVICE, List.of(engine("a"), engine("b")), 0);
+        assertTrue(mEngines.isStable(SERVICE, List.of(engine("a"), engine("b")), WAIT_MILLIS));
+        assertFalse(mEngines.isStable(SERVICE, List.of(engine("a")), WAIT_MILLIS + 1));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/route/RelayConfigurationTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/route/RelayConfigurationTest.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.testng.annotations.Test;
 
-/** Tests the choice of a route and of its service. */
+/** Tests the selection of routes and of their services. */
 public class RelayConfigurationTest {
 
     private static Route route(String name, String host, String prefix, WeightedService... to) {
@@ -26,7 +26,7 @@
                 false);
     }
 
-    private static WeightedService to(String service, int weight) {
+    private static WeightedService weighted(String service, int weight) {
         return new WeightedService(new ServiceName(service), weight);
     }
 
@@ -36,9 +36,9 @@
                 new RelayConfiguration(
                         3,
                         List.of(
-                                route("short", "a.example", "/x/", to("s", 1)),
-                                route("long", "a.example", "/x/y/", to("s", 1)),
-                                route("other", "b.example", "/x/y/z/", to("s", 1))),
+                                route("short", "a.example", "/x/", weighted("s", 1)),
+                                route("long", "a.example", "/x/y/", weighted("s", 1)),
+                                route("other", "b.example", "/x/y/z/", weighted("s", 1))),
                         List.of());
         assertEquals(configuration.find("A.example:80", "/x/y/z/1?q").orElseThrow().name(), "long");
         assertEquals(configuration.find("a.example", "/x/q").orElseThrow().name(), "short");
@@ -48,7 +48,7 @@
 
     @Test
     public void weightsDivideTheRequests() {
-        Route split = route("r", "h", "/", to("a", 90), to("b", 10));
+        Route split = route("r", "h", "/", weighted("a", 90), weighted("b", 10));
         assertEquals(split.serviceFor(0.0).value(), "a");
         assertEquals(split.serviceFor(0.899).value(), "a");
         assertEquals(split.serviceFor(0.9).value(), "b");
@@ -56,13 +56,14 @@
     }
 
     @Test
-    public void prefixWithoutSlashesIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> route("r", "h", "/x", to("a", 1)));
-        assertThrows(IllegalArgumentException.class, () -> route("r", "h", "/x/", to("a", 0)));
+    public void prefixWithoutSlashesIsRejected() {
+        assertThrows(IllegalArgumentException.class, () -> route("r", "h", "/x", weighted("a", 1)));
+        assertThrows(
+                IllegalArgumentException.class, () -> route("r", "h", "/x/", weighted("a", 0)));
     }
 
     @Test
-    public void streamsRepeatOnlyWhereTheyMayBeResumed() {
+    public void streamsAreRepeatableOnlyIfResumable() {
         assertTrue(RouteKind.STREAM.repeatable(true));
         assertEquals(RouteKind.STREAM.repeatable(false), false);
         assertEquals(RouteKind.AT_MOST_ONCE.repeatable(true), false);
