--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
@@ -6,47 +6,58 @@
 import org.cyclamenpaddle.relay.store.Entry;
 
 /**
- * Counts the hosts whose entries still change; not thread-safe.
+ * Counts the hosts whose entries change regularly; not thread-safe.
  *
- * <p>Entries do not expire by themselves, and clocks of different hosts are not compared: what
- * counts is how long this host has seen an entry stand still.
+ * <p>Entries do not expire by themselves, and the clocks of different hosts are not compared: only
+ * the time for which this host has seen an entry unchanged counts.
  */
 final class HostCount {
 
-    /** Stillness after which a host counts no more, in milliseconds: four missed renewals. */
-    static final long ALIVE_MILLIS = 80_000;
+    /**
+     * Time without a change after which a host is not counted, in milliseconds: four missed
+     * renewals.
+     */
+    static final long ALIVE_TIMEOUT_MILLIS = 80_000;
 
     /**
-     * Stillness after which an entry is removed, in milliseconds; long, as nothing depends on it.
+     * Time without a change after which an entry is removed, in milliseconds; long because nothing
+     * depends on the removal.
      */
-    static final long REMOVE_MILLIS = 300_000;
+    static final long REMOVAL_TIMEOUT_MILLIS = 300_000;
 
-    private record Seen(long beat, long sinceMillis) {}
+    private record Observation(long heartbeat, long sinceMillis) {}
 
-    private final Map<String, Seen> mSeen = new HashMap<>();
+    private final Map<String, Observation> mObservations = new HashMap<>();
 
-    /** Takes in a listing and returns the hosts whose entries should be removed. */
-    List<String> listed(List<Entry<Long>> entries, long nowMillis) {
-        Map<String, Seen> before = new HashMap<>(mSeen);
-        mSeen.clear();
+    /** Applies a listing and returns the hosts whose entries should be removed. */
+    List<String> applyListing(List<Entry<Long>> entries, long nowMillis) {
+        Map<String, Observation> previous = new HashMap<>(mObservations);
+        mObservations.clear();
         entries.forEach(
                 entry -> {
-                    long beat = entry.value().getOrElse(0L);
-                    Seen old = before.get(entry.name());
-                    boolean still = old != null && old.beat() == beat;
-                    mSeen.put(entry.name(), still ? old : new Seen(beat, nowMillis));
+                    long heartbeat = entry.value().getOrElse(0L);
+                    Observation old = previous.get(entry.name());
+                    boolean unchanged = old != null && old.heartbeat() == heartbeat;
+                    mObservations.put(
+                            entry.name(), unchanged ? old : new Observation(heartbeat, nowMillis));
                 });
-        return mSeen.entrySet().stream()
-                .filter(seen -> nowMillis - seen.getValue().sinceMillis() >= REMOVE_MILLIS)
+        return mObservations.entrySet().stream()
+                .filter(
+                        observation ->
+                                nowMillis - observation.getValue().sinceMillis()
+                                        >= REMOVAL_TIMEOUT_MILLIS)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Returns the hosts alive; 0 before the first listing. */
-    int alive(long nowMillis) {
+    /** Returns the number of live hosts; 0 before the first listing. */
+    int aliveHosts(long nowMillis) {
         return (int)
-                mSeen.values().stream()
-                        .filter(seen -> nowMillis - seen.sinceMillis() < ALIVE_MILLIS)
+                mObservations.values().stream()
+                        .filter(
+                                observation ->
+                                        nowMillis - observation.sinceMillis()
+                                                < ALIVE_TIMEOUT_MILLIS)
                         .count();
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
@@ -14,25 +14,27 @@
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
- * Controller that announces this host in the store and counts the others.
+ * Controller that registers this host in the store and counts the other hosts.
  *
- * <p>Two calls in twenty seconds for each host; a listing holds some tens of bytes for each host.
+ * <p>Each host makes two calls every twenty seconds; a listing holds some tens of bytes per host.
  */
 public final class HostRegistry {
 
-    /** Pause between two rounds, in milliseconds. */
-    static final long ROUND_MILLIS = 20_000;
+    /** Interval between two rounds, in milliseconds. */
+    static final long ROUND_INTERVAL_MILLIS = 20_000;
 
     /**
-     * Pause after the first round, in milliseconds.
+     * Delay of the second round, in milliseconds.
      *
-     * <p>Hosts that start together find only some of the others in their first round; the slack of
-     * repeats would be divided among too few.
+     * <p>Hosts that start together find only some of the others in their first round, and the slack
+     * of the retry budget would be divided among too few hosts.
      */
-    static final long SECOND_ROUND_MILLIS = 5_000;
+    static final long SECOND_ROUND_DELAY_MILLIS = 5_000;
 
-    /** Pause before a failed round is tried again, in milliseconds, spread by as much again. */
-    static final long RETRY_MILLIS = 1_000;
+    /**
+     * Delay before a failed round is retried, in milliseconds; jitter of the same size is added.
+     */
+    static final long RETRY_DELAY_MILLIS = 1_000;
 
     private final String mHost;
     private final HostStore mStore;
@@ -42,20 +44,20 @@
     private final Clock mClock;
     private final DoubleSupplier mRandom;
     private final HostCount mCount = new HostCount();
-    private long mBeat;
+    private long mHeartbeat;
     private int mAlive;
     private boolean mFirstRound = true;
 
     /**
-     * Creates a registry; {@link #start} begins.
+     * Creates a registry; {@link #start} starts it.
      *
      * @param host name of this host
-     * @param store of the entries
-     * @param listener told the number of hosts whenever it changes
-     * @param log decision lines
+     * @param store store of the entries
+     * @param listener receives the number of hosts whenever it changes
+     * @param log decision log
      * @param executor a single thread
      * @param clock steady clock
-     * @param random even draws from 0 to 1
+     * @param random uniformly distributed values from 0 to 1
      */
     public HostRegistry(
             String host,
@@ -72,46 +74,46 @@
         mExecutor = executor;
         mClock = clock;
         mRandom = random;
-        // A host that starts again must not repeat the beat of its life before.
-        mBeat = (long) (random.getAsDouble() * Integer.MAX_VALUE);
+        // A restarted host must not repeat the heartbeat of its previous incarnation.
+        mHeartbeat = (long) (random.getAsDouble() * Integer.MAX_VALUE);
     }
 
-    /** Begins to announce and to count. */
+    /** Starts registering this host and counting hosts. */
     public void start() {
         mExecutor.execute(this::round);
     }
 
     private void round() {
-        mBeat++;
-        mStore.announce(mHost, mBeat)
+        mHeartbeat++;
+        mStore.announce(mHost, mHeartbeat)
                 .thenCompose(
-                        taken ->
-                                taken
+                        accepted ->
+                                accepted
                                         ? mStore.heartbeats()
                                         : CompletableFuture.completedFuture(
                                                 Either.left(StoreFailure.TURNED_AWAY)))
-                .thenAcceptAsync(this::counted, mExecutor);
+                .thenAcceptAsync(this::update, mExecutor);
     }
 
-    private void counted(Either<StoreFailure, List<Entry<Long>>> entries) {
+    private void update(Either<StoreFailure, List<Entry<Long>>> entries) {
         if (entries.isLeft()) {
-            later(RETRY_MILLIS);
+            scheduleRound(RETRY_DELAY_MILLIS);
             return;
         }
         long now = mClock.millis();
-        mCount.listed(entries.get(), now).forEach(mStore::remove);
-        int alive = mCount.alive(now);
-        if (alive != mAlive) {
-            mLog.log(RelayEvent.HOSTS_COUNTED, alive, mAlive);
-            mAlive = alive;
-            mListener.accept(alive);
+        mCount.applyListing(entries.get(), now).forEach(mStore::remove);
+        int aliveHosts = mCount.aliveHosts(now);
+        if (aliveHosts != mAlive) {
+            mLog.log(RelayEvent.HOSTS_COUNTED, aliveHosts, mAlive);
+            mAlive = aliveHosts;
+            mListener.accept(aliveHosts);
         }
-        later(mFirstRound ? SECOND_ROUND_MILLIS : ROUND_MILLIS);
+        scheduleRound(mFirstRound ? SECOND_ROUND_DELAY_MILLIS : ROUND_INTERVAL_MILLIS);
         mFirstRound = false;
     }
 
-    private void later(long millis) {
-        long spread = (long) (mRandom.getAsDouble() * RETRY_MILLIS);
+    private void scheduleRound(long millis) {
+        long spread = (long) (mRandom.getAsDouble() * RETRY_DELAY_MILLIS);
         mExecutor.schedule(this::round, millis + spread, TimeUnit.MILLISECONDS);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
@@ -6,21 +6,21 @@
 import org.cyclamenpaddle.relay.store.Entry;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
-/** Where hosts announce themselves; futures never fail. */
+/** Store in which hosts register; its futures never fail. */
 public interface HostStore {
 
     /**
-     * Announces this host, or renews that.
+     * Registers this host or renews its registration.
      *
-     * @param host its name
-     * @param beat differs from the last one
-     * @return whether the store has taken it
+     * @param host name of this host
+     * @param heartbeat value that differs from the previous one
+     * @return whether the store accepted it
      */
-    CompletableFuture<Boolean> announce(String host, long beat);
+    CompletableFuture<Boolean> announce(String host, long heartbeat);
 
-    /** Returns the newest beat of each host that has announced itself. */
+    /** Returns the latest heartbeat of each registered host. */
     CompletableFuture<Either<StoreFailure, List<Entry<Long>>>> heartbeats();
 
-    /** Removes the entry of a host that is gone. */
+    /** Removes the entry of a host that has stopped. */
     CompletableFuture<Boolean> remove(String host);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/package-info.java
@@ -1,2 +1,2 @@
-/** How many hosts there are, as far as the store shows, so that shared bounds can be divided. */
+/** Registration and count of the live hosts, among which shared limits are divided. */
 package org.cyclamenpaddle.relay.host;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/metric/RelayMetrics.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/metric/RelayMetrics.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Metrics of the relay; safe for use by many threads. */
+/** Metrics of the relay; thread-safe. */
 public final class RelayMetrics {
 
     private static final String PREFIX = "cyclamenpaddle_relay_";
@@ -20,10 +20,10 @@
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     /**
-     * Counts a request that was answered with a backend server's own answer.
+     * Records a request that ended with a backend server's own response.
      *
      * @param kind kind of its route
-     * @param millis from its arrival to its end
+     * @param millis time from its arrival to its end, in milliseconds
      */
     public void recordResponse(Enum<?> kind, long millis) {
         Timer.builder(PREFIX + "request")
@@ -39,32 +39,32 @@
                 .record(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Counts a request that ended without a backend server's answer. */
+    /** Records a request that ended without a backend server's response. */
     public void recordRefusal(Enum<?> reason) {
         counter("refusals", REASON, tag(reason)).increment();
     }
 
-    /** Counts a send that was followed by another one. */
+    /** Records a send that was followed by another one. */
     public void recordRetry(Enum<?> reason) {
         counter("retries", REASON, tag(reason)).increment();
     }
 
-    /** Counts a caller that left before its answer. */
+    /** Records a caller that disconnected before its response. */
     public void recordDisconnect() {
         counter("callers_gone", REASON, "left").increment();
     }
 
     /**
-     * Shows a reading.
+     * Registers a gauge.
      *
-     * @param name what it is
-     * @param reading read whenever the metrics are read
+     * @param name name of the gauge, without the common prefix
+     * @param reading supplies its value at each scrape
      */
     public void gauge(String name, Supplier<Number> reading) {
         Gauge.builder(PREFIX + name, reading).register(mRegistry);
     }
 
-    /** Returns all metrics in the text format of Prometheus. */
+    /** Returns all metrics in the Prometheus text format. */
     public String text() {
         return mRegistry.scrape();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Entry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Entry.java
@@ -3,11 +3,11 @@
 import io.vavr.control.Either;
 
 /**
- * One object of the store as this host reads it.
+ * Object of the store as read by this host.
  *
  * @param name its name
- * @param value what it says; left: why it cannot be used, which includes that it was removed
- * @param <T> type of what objects of its kind say
+ * @param value its content; left: the reason that it cannot be used, including its removal
+ * @param <T> type of the content
  */
 public record Entry<T>(String name, Either<String, T> value) {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * Told what a {@link Follower} learns.
+ * Receives the entries and changes that a {@link Follower} obtains.
  *
- * @param <T> type of what the objects say
+ * @param <T> type of the objects' content
  */
 public interface EntryListener<T> {
 
-    /** Takes in a whole listing. */
+    /** Called with a complete listing. */
     void onListing(List<Entry<T>> entries);
 
-    /** Takes in one changed object. */
+    /** Called with one changed object. */
     void onChange(Entry<T> entry);
 
-    /** Called when calls begin to fail. */
+    /** Called when store calls begin to fail. */
     void onStoreUnavailable(StoreFailure failure);
 
-    /** Called when calls succeed again, before what they brought. */
+    /** Called when store calls succeed again, before their results are delivered. */
     void onStoreAvailable(long awayMillis);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryPage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryPage.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A part of a listing, or the changes that a watch brought.
+ * Page of a listing, or the changes that a watch returned.
  *
- * @param entries the objects, in the store's order
- * @param revision revision of the store that they show
- * @param more whether the listing goes on after the last entry
- * @param <T> type of what the objects say
+ * @param entries the objects, in the order of the store
+ * @param revision revision of the store that they represent
+ * @param more whether the listing continues after the last entry
+ * @param <T> type of the objects' content
  */
 public record EntryPage<T>(List<Entry<T>> entries, long revision, boolean more) {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntrySource.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntrySource.java
@@ -5,34 +5,35 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One kind of objects in a store.
+ * Access to one kind of objects in a store.
  *
- * <p>Futures never fail; a call that brought nothing is a {@link StoreFailure}.
+ * <p>Futures never fail; a call without a result returns a {@link StoreFailure}.
  *
- * @param <T> type of what the objects say
+ * @param <T> type of the objects' content
  */
 public interface EntrySource<T> {
 
     /**
      * Lists the objects.
      *
-     * @param after name after which to go on; empty for the beginning
+     * @param after name after which the listing continues; empty to start at the beginning
      */
     CompletableFuture<Either<StoreFailure, EntryPage<T>>> list(Optional<String> after);
 
     /**
      * Waits for changes.
      *
-     * @param revision revision after which changes are wanted
-     * @param waitMillis longest wait, in milliseconds; the result is then empty
+     * @param revision revision after which changes are returned
+     * @param waitMillis maximum wait, in milliseconds; the result is empty if nothing has changed
+     *     by then
      */
     CompletableFuture<Either<StoreFailure, EntryPage<T>>> watch(long revision, long waitMillis);
 
     /**
-     * Asks for changes without a wait, at a fraction of the cost of {@link #watch}.
+     * Requests changes without waiting, at a fraction of the cost of {@link #watch}.
      *
-     * @param revision revision after which changes are wanted
-     * @return changes that may lack those of the last seconds
+     * @param revision revision after which changes are returned
+     * @return changes; those of the last seconds may be missing
      */
     CompletableFuture<Either<StoreFailure, EntryPage<T>>> recentChanges(long revision);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
@@ -12,50 +12,53 @@
 import org.cyclamenpaddle.core.time.Clock;
 
 /**
- * Follows one kind of objects: a listing first, then watches, each from where the last one ended.
+ * Follows one kind of objects: a listing first, then watches, each from the last known revision.
  *
- * <p>A watch waits long, so that a quiet store is called seldom. While it waits, cheap checks show
- * whether the store still answers and whether the watch has missed a change. Only the newest call
- * counts: the answer of a watch that was given up is ignored, so that nothing older ever arrives
- * after something newer. All callbacks come on the given executor, which must be a single thread.
+ * <p>A watch waits long, so an idle store receives few calls. While it waits, inexpensive checks
+ * show whether the store still responds and whether the watch has missed a change. Only the latest
+ * call counts: the response of an abandoned watch is ignored, so older state never arrives after
+ * newer state. All callbacks run on the given executor, which must be a single thread.
  *
- * @param <T> type of what the objects say
+ * @param <T> type of the objects' content
  */
 public final class Follower<T> {
 
-    /** Longest wait of one watch, in milliseconds. */
-    static final long WATCH_MILLIS = 20_000;
+    /** Maximum wait of one watch, in milliseconds. */
+    static final long WATCH_TIMEOUT_MILLIS = 20_000;
 
     /**
-     * Pause between two checks of a waiting watch, in milliseconds.
+     * Interval between two checks of a waiting watch, in milliseconds.
      *
-     * <p>Safeguard: the connection of a watch can go silent for good, and a silent store still
-     * takes calls. Either is noticed after this pause and the timeout of one call at the latest.
+     * <p>Safeguard: the connection of a watch can become permanently silent, and an unresponsive
+     * store still accepts calls. Either is detected within this interval plus the timeout of one
+     * call.
      */
-    static final long CHECK_MILLIS = 2_000;
+    static final long CHECK_INTERVAL_MILLIS = 2_000;
 
     /**
-     * Pause after an answer with changes, in milliseconds.
+     * Pause after a response with changes, in milliseconds.
      *
-     * <p>Changes come in groups: a fleet that starts, servers that are replaced one by one. Without
-     * the pause each of them would be a call of each host.
+     * <p>Changes come in groups: a deployment that starts, or servers that are replaced one by one.
+     * Without this pause each of them would cause a call by each host.
      */
-    static final long SETTLE_MILLIS = 500;
+    static final long COALESCING_PAUSE_MILLIS = 500;
 
     /**
      * Wait of a watch after a failed call, in milliseconds.
      *
-     * <p>Safeguard: a watch that is begun on a silent store hangs for its whole time, long after
-     * the store is back. A call that asks for what there is, and no more, ends or is given up
-     * within a second.
+     * <p>Safeguard: a watch that is started on an unresponsive store hangs for its full wait, long
+     * after the store has recovered. A call without a wait completes or times out within a second.
      */
     static final long NO_WAIT_MILLIS = 0;
 
-    /** Least wait after the first failed call, in milliseconds; it doubles with each further. */
-    static final long LEAST_PAUSE_MILLIS = 100;
+    /**
+     * Minimum backoff after the first failed call, in milliseconds; doubles with each further
+     * failure.
+     */
+    static final long BASE_BACKOFF_MILLIS = 100;
 
-    /** Largest of the least waits after failed calls, in milliseconds. */
-    static final long MOST_PAUSE_MILLIS = 400;
+    /** Limit on the minimum backoff after failed calls, in milliseconds. */
+    static final long MAX_BACKOFF_MILLIS = 400;
 
     private final EntrySource<T> mSource;
     private final EntryListener<T> mListener;
@@ -64,18 +67,18 @@
     private final DoubleSupplier mRandom;
     private final List<Entry<T>> mListing = new ArrayList<>();
     private long mRevision;
-    private long mStep;
+    private long mSequence;
     private int mFailures;
-    private Optional<Long> mLostAtMillis = Optional.empty();
+    private Optional<Long> mUnavailableSinceMillis = Optional.empty();
 
     /**
-     * Creates a follower; {@link #start} begins.
+     * Creates a follower; {@link #start} starts it.
      *
-     * @param source where the objects are
-     * @param listener told what is learned
+     * @param source source of the objects
+     * @param listener receives listings and changes
      * @param executor a single thread
-     * @param clock this host's clock
-     * @param random even draws from 0 to 1
+     * @param clock clock of this host
+     * @param random uniformly distributed values from 0 to 1
      */
     public Follower(
             EntrySource<T> source,
@@ -90,7 +93,7 @@
         mRandom = random;
     }
 
-    /** Begins with a listing. */
+    /** Starts with a listing. */
     public void start() {
         mExecutor.execute(this::list);
     }
@@ -101,13 +104,13 @@
     }
 
     private void list(Optional<String> after) {
-        call(mSource.list(after), this::listed, failure -> retry(this::list));
+        call(mSource.list(after), this::handlePage, failure -> retry(this::list));
     }
 
-    private void listed(EntryPage<T> page) {
+    private void handlePage(EntryPage<T> page) {
         if (mListing.isEmpty()) {
-            // What changes while later pages are read may lie on an earlier page: watches begin
-            // at the first.
+            // Objects on earlier pages may change while later pages are read, so watches start at
+            // the revision of the first page.
             mRevision = page.revision();
         }
         mListing.addAll(page.entries());
@@ -121,76 +124,76 @@
     }
 
     private void watch() {
-        boolean lost = mLostAtMillis.isPresent();
+        boolean unavailable = mUnavailableSinceMillis.isPresent();
         call(
-                mSource.watch(mRevision, lost ? NO_WAIT_MILLIS : WATCH_MILLIS),
-                this::watched,
-                this::watchFailed);
-        if (!lost) {
-            checkLater(mStep);
+                mSource.watch(mRevision, unavailable ? NO_WAIT_MILLIS : WATCH_TIMEOUT_MILLIS),
+                this::handleWatchResult,
+                this::handleWatchFailure);
+        if (!unavailable) {
+            scheduleCheck(mSequence);
         }
     }
 
-    private void watched(EntryPage<T> page) {
-        boolean changed = take(page);
+    private void handleWatchResult(EntryPage<T> page) {
+        boolean changed = applyChanges(page);
         if (changed) {
-            next(this::watch, SETTLE_MILLIS);
+            schedule(this::watch, COALESCING_PAUSE_MILLIS);
         } else {
             watch();
         }
     }
 
-    private void watchFailed(StoreFailure failure) {
+    private void handleWatchFailure(StoreFailure failure) {
         retry(failure == StoreFailure.HISTORY_GONE ? this::list : this::watch);
     }
 
-    private void checkLater(long step) {
-        mExecutor.schedule(() -> check(step), CHECK_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleCheck(long sequence) {
+        mExecutor.schedule(() -> check(sequence), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Checks on the watch of a step, if that still waits. */
-    private void check(long step) {
-        if (step == mStep) {
+    /** Checks the watch with the given sequence number if it is still waiting. */
+    private void check(long sequence) {
+        if (sequence == mSequence) {
             mSource.recentChanges(mRevision)
-                    .thenAcceptAsync(result -> checked(step, result), mExecutor);
+                    .thenAcceptAsync(result -> handleCheckResult(sequence, result), mExecutor);
         }
     }
 
-    private void checked(long step, Either<StoreFailure, EntryPage<T>> result) {
-        if (step != mStep) {
+    private void handleCheckResult(long sequence, Either<StoreFailure, EntryPage<T>> result) {
+        if (sequence != mSequence) {
             return;
         }
         if (result.isLeft()) {
-            mStep++;
-            failed(result.getLeft());
-            watchFailed(result.getLeft());
-        } else if (take(result.get())) {
+            mSequence++;
+            recordFailure(result.getLeft());
+            handleWatchFailure(result.getLeft());
+        } else if (applyChanges(result.get())) {
             watch();
         } else {
-            checkLater(step);
+            scheduleCheck(sequence);
         }
     }
 
-    /** Takes changes in and returns whether there were any. */
-    private boolean take(EntryPage<T> page) {
+    /** Applies changes and returns whether there were any. */
+    private boolean applyChanges(EntryPage<T> page) {
         mRevision = Math.max(mRevision, page.revision());
         page.entries().forEach(mListener::onChange);
         return !page.entries().isEmpty();
     }
 
-    /** Makes the call that counts from now on. */
+    /** Makes a call that supersedes all earlier ones. */
     private void call(
             CompletableFuture<Either<StoreFailure, EntryPage<T>>> call,
             Consumer<EntryPage<T>> success,
             Consumer<StoreFailure> failure) {
-        long step = ++mStep;
+        long sequence = ++mSequence;
         call.thenAcceptAsync(
                 result -> {
-                    if (step != mStep) {
+                    if (sequence != mSequence) {
                         return;
                     }
-                    result.peekLeft(this::failed);
-                    result.peek(page -> succeeded());
+                    result.peekLeft(this::recordFailure);
+                    result.peek(page -> recordSuccess());
                     if (result.isRight()) {
                         success.accept(result.get());
                     } else {
@@ -200,43 +203,43 @@
                 mExecutor);
     }
 
-    private void failed(StoreFailure failure) {
+    private void recordFailure(StoreFailure failure) {
         if (failure == StoreFailure.HISTORY_GONE) {
-            succeeded();
+            recordSuccess();
             return;
         }
         mFailures++;
-        if (mLostAtMillis.isEmpty()) {
-            mLostAtMillis = Optional.of(mClock.millis());
+        if (mUnavailableSinceMillis.isEmpty()) {
+            mUnavailableSinceMillis = Optional.of(mClock.millis());
             mListener.onStoreUnavailable(failure);
         }
     }
 
-    private void succeeded() {
+    private void recordSuccess() {
         mFailures = 0;
-        Optional<Long> lost = mLostAtMillis;
-        mLostAtMillis = Optional.empty();
-        lost.ifPresent(at -> mListener.onStoreAvailable(mClock.millis() - at));
+        Optional<Long> since = mUnavailableSinceMillis;
+        mUnavailableSinceMillis = Optional.empty();
+        since.ifPresent(at -> mListener.onStoreAvailable(mClock.millis() - at));
     }
 
     /**
-     * Goes on after a failed call.
+     * Schedules a retry after a failed call.
      *
-     * <p>Safeguard: when the store comes back all hosts call at once and are turned away for their
-     * rate. Waits that grow and are spread evenly keep hundreds of hosts under its rate.
+     * <p>Safeguard: when the store recovers, all hosts call at once and are rejected because of its
+     * rate limit. Exponential backoff with jitter keeps hundreds of hosts below that limit.
      */
     private void retry(Runnable work) {
         int doublings = Math.min(Math.max(0, mFailures - 1), Long.SIZE / 2);
-        long least = Math.min(LEAST_PAUSE_MILLIS << doublings, MOST_PAUSE_MILLIS);
-        next(work, least + (long) (mRandom.getAsDouble() * least));
+        long baseMillis = Math.min(BASE_BACKOFF_MILLIS << doublings, MAX_BACKOFF_MILLIS);
+        schedule(work, baseMillis + (long) (mRandom.getAsDouble() * baseMillis));
     }
 
-    /** Schedules what comes next, unless another call is made before. */
-    private void next(Runnable work, long millis) {
-        long step = ++mStep;
+    /** Schedules the next call, unless another call is made before. */
+    private void schedule(Runnable work, long millis) {
+        long sequence = ++mSequence;
         mExecutor.schedule(
                 () -> {
-                    if (step == mStep) {
+                    if (sequence == mSequence) {
                         work.run();
                     }
                 },
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/StoreFailure.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/StoreFailure.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.relay.store;
 
-/** Why a call to the store brought nothing. */
+/** Reason for which a store call returned no result. */
 public enum StoreFailure {
-    /** The changes since the given revision are no longer known: a listing is needed. */
+    /** The changes since the given revision are no longer available; a listing is required. */
     HISTORY_GONE,
-    /** The store answers, but not to this call now. */
+    /** The store responded, but rejected the call. */
     TURNED_AWAY,
-    /** No answer came, or none that could be read. */
+    /** No response arrived, or an unreadable one. */
     NO_ANSWER
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/host/HostCountTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/host/HostCountTest.java
@@ -7,30 +7,35 @@
 import org.cyclamenpaddle.relay.store.Entry;
 import org.testng.annotations.Test;
 
-/** Tests that hosts count while their entries change, and that entries left behind are removed. */
+/** Tests that hosts count while their entries change, and that stale entries are removed. */
 public class HostCountTest {
 
-    private static Entry<Long> entry(String host, long beat) {
-        return new Entry<>(host, Either.right(beat));
+    private static Entry<Long> entry(String host, long heartbeat) {
+        return new Entry<>(host, Either.right(heartbeat));
     }
 
     @Test
-    public void hostWhoseEntryStandsStillCountsNoMore() {
+    public void hostWithUnchangedEntryIsNotCounted() {
         HostCount count = new HostCount();
-        assertEquals(count.alive(0), 0);
-        count.listed(List.of(entry("a", 1), entry("b", 1)), 0);
-        assertEquals(count.alive(0), 2);
-        long later = HostCount.ALIVE_MILLIS;
-        count.listed(List.of(entry("a", 2), entry("b", 1)), later);
-        assertEquals(count.alive(later), 1);
+        assertEquals(count.aliveHosts(0), 0);
+        count.applyListing(List.of(entry("a", 1), entry("b", 1)), 0);
+        assertEquals(count.aliveHosts(0), 2);
+        long later = HostCount.ALIVE_TIMEOUT_MILLIS;
+        count.applyListing(List.of(entry("a", 2), entry("b", 1)), later);
+        assertEquals(count.aliveHosts(later), 1);
     }
 
     @Test
-    public void entryLeftBehindIsRemovedInTheEnd() {
+    public void staleEntryIsRemoved() {
         HostCount count = new HostCount();
-        count.listed(List.of(entry("a", 1)), 0);
-        assertEquals(count.listed(List.of(entry("a", 1)), HostCount.REMOVE_MILLIS - 1), List.of());
-        assertEquals(count.listed(List.of(entry("a", 1)), HostCount.REMOVE_MILLIS), List.of("a"));
-        assertEquals(count.listed(List.of(), HostCount.REMOVE_MILLIS + 1), List.of());
+        count.applyListing(List.of(entry("a", 1)), 0);
+        assertEquals(
+                count.applyListing(List.of(entry("a", 1)), HostCount.REMOVAL_TIMEOUT_MILLIS - 1),
+                List.of());
+        assertEquals(
+                count.applyListing(List.of(entry("a", 1)), HostCount.REMOVAL_TIMEOUT_MILLIS),
+                List.of("a"));
+        assertEquals(
+                count.applyListing(List.of(), HostCount.REMOVAL_TIMEOUT_MILLIS + 1), List.of());
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Tests how {@link Follower} goes on after everything that a store can do to it. */
+/** Tests how {@link Follower} continues after every kind of store response. */
 public class FollowerTest {
 
     private final ScheduledExecutorService mExecutor = Executors.newSingleThreadScheduledExecutor();
@@ -25,12 +25,12 @@
     @AfterMethod
     public void cleanUp() {
         mCalls.clear();
-        mTold.clear();
+        mEvents.clear();
         mWaits.clear();
     }
 
     private final List<String> mCalls = new ArrayList<>();
-    private final List<String> mTold = new ArrayList<>();
+    private final List<String> mEvents = new ArrayList<>();
     private final List<Long> mWaits = new ArrayList<>();
 
     private static EntryPage<String> page(long revision, boolean more, String... names) {
@@ -40,33 +40,33 @@
                 more);
     }
 
-    /** Plays answers in turn; the last call stays open and ends the test. */
-    private List<String> follow(List<Either<StoreFailure, EntryPage<String>>> answers)
+    /** Replays responses in order; the last call stays pending and ends the test. */
+    private List<String> follow(List<Either<StoreFailure, EntryPage<String>>> responses)
             throws InterruptedException {
-        Deque<Either<StoreFailure, EntryPage<String>>> left = new ArrayDeque<>(answers);
+        Deque<Either<StoreFailure, EntryPage<String>>> remaining = new ArrayDeque<>(responses);
         CountDownLatch done = new CountDownLatch(1);
-        Function<String, CompletableFuture<Either<StoreFailure, EntryPage<String>>>> answer =
+        Function<String, CompletableFuture<Either<StoreFailure, EntryPage<String>>>> response =
                 call -> {
                     mCalls.add(call);
-                    if (left.isEmpty()) {
+                    if (remaining.isEmpty()) {
                         done.countDown();
                         return new CompletableFuture<>();
                     }
-                    return CompletableFuture.completedFuture(left.poll());
+                    return CompletableFuture.completedFuture(remaining.poll());
                 };
         EntrySource<String> source =
                 new EntrySource<>() {
                     @Override
                     public CompletableFuture<Either<StoreFailure, EntryPage<String>>> list(
                             Optional<String> after) {
-                        return answer.apply("list " + after.orElse("-"));
+                        return response.apply("list " + after.orElse("-"));
                     }
 
                     @Override
                     public CompletableFuture<Either<StoreFailure, EntryPage<String>>> watch(
                             long revision, long waitMillis) {
                         mWaits.add(waitMillis);
-                        return answer.apply("watch " + revision);
+                        return response.apply("watch " + revision);
                     }
 
                     @Override
@@ -84,43 +84,43 @@
         return new EntryListener<>() {
             @Override
             public void onListing(List<Entry<String>> entries) {
-                mTold.add("listed " + entries.size());
+                mEvents.add("listed " + entries.size());
             }
 
             @Override
             public void onChange(Entry<String> entry) {
-                mTold.add("changed " + entry.name());
+                mEvents.add("changed " + entry.name());
             }
 
             @Override
             public void onStoreUnavailable(StoreFailure failure) {
-                mTold.add("lost " + failure);
+                mEvents.add("lost " + failure);
             }
 
             @Override
             public void onStoreAvailable(long awayMillis) {
-                mTold.add("regained");
+                mEvents.add("regained");
             }
         };
     }
 
     /**
-     * While the second page is read, an entry of the first one changes. The watch starts from the
-     * first page's revision, or that change would never be heard of.
+     * While the second page is read, an entry of the first page changes. The watch must start at
+     * the first page's revision, otherwise the change is never received.
      */
     @Test
-    public void listingOfSeveralPagesIsWatchedFromItsFirst() throws InterruptedException {
+    public void multiPageListingIsWatchedFromFirstPageRevision() throws InterruptedException {
         assertEquals(
                 follow(
                         List.of(
                                 Either.right(page(5, true, "a", "b")),
                                 Either.right(page(9, false, "c")))),
                 List.of("list -", "list b", "watch 5"));
-        assertEquals(mTold, List.of("listed 3"));
+        assertEquals(mEvents, List.of("listed 3"));
     }
 
     @Test
-    public void watchGoesOnFromWhereItEnded() throws InterruptedException {
+    public void watchResumesFromTheLastRevision() throws InterruptedException {
         assertEquals(
                 follow(
                         List.of(
@@ -131,13 +131,15 @@
                                 Either.right(page(8, false, "y")))),
                 List.of("list -", "watch 5", "watch 7", "watch 7", "watch 7", "watch 8"));
         assertEquals(
-                mTold, List.of("listed 0", "changed x", "lost NO_ANSWER", "regained", "changed y"));
+                mEvents,
+                List.of("listed 0", "changed x", "lost NO_ANSWER", "regained", "changed y"));
     }
 
     /**
-     * The store falls silent for three seconds, but goes on taking calls. A long watch begun in
-     * that time would hang for five, and requests would still be handled by the configuration of
-     * before when the store had long been back. Until a call succeeds, none waits for changes.
+     * The store stops responding for three seconds but still accepts calls. A long watch started in
+     * that time would hang for five seconds, and requests would still use the previous
+     * configuration long after the store had recovered. Until a call succeeds, no call waits for
+     * changes.
      */
     @Test
     public void callsAfterAFailureDoNotWait() throws InterruptedException {
@@ -150,14 +152,14 @@
         assertEquals(
                 mWaits,
                 List.of(
-                        Follower.WATCH_MILLIS,
+                        Follower.WATCH_TIMEOUT_MILLIS,
                         Follower.NO_WAIT_MILLIS,
                         Follower.NO_WAIT_MILLIS,
-                        Follower.WATCH_MILLIS));
+                        Follower.WATCH_TIMEOUT_MILLIS));
     }
 
     @Test
-    public void forgottenHistoryMeansAListing() throws InterruptedException {
+    public void missingHistoryTriggersListing() throws InterruptedException {
         assertEquals(
                 follow(
                         List.of(
@@ -165,6 +167,6 @@
                                 Either.left(StoreFailure.HISTORY_GONE),
                                 Either.right(page(20, false, "z")))),
                 List.of("list -", "watch 5", "list -", "watch 20"));
-        assertEquals(mTold, List.of("listed 0", "listed 1"));
+        assertEquals(mEvents, List.of("listed 0", "listed 1"));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerWatchTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerWatchTest.java
@@ -14,22 +14,22 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests what a {@link Follower} calls in virtual time, and how soon it learns of a change. */
+/** Tests the calls of a {@link Follower} in virtual time, and how soon it receives a change. */
 public class FollowerWatchTest {
 
     private static final long CALL_TIMEOUT_MILLIS = 1_000;
 
-    /** Time after which a host knows of a change at the latest, in milliseconds. */
-    private static final long KNOWN_MILLIS = 2_000;
+    /** Maximum time until a host receives a change, in milliseconds. */
+    private static final long MAX_PROPAGATION_MILLIS = 2_000;
 
     private VirtualClock mClock;
     private VirtualExecutor mExecutor;
     private ScriptedStore mStore;
-    private List<String> mTold;
+    private List<String> mEvents;
 
     private record Page(List<Entry<String>> entries, long revision) {}
 
-    /** A store whose changes, silences and broken connections are played in virtual time. */
+    /** Store whose changes, outages and broken connections are simulated in virtual time. */
     private final class ScriptedStore implements EntrySource<String> {
 
         private record Change(long revision, String name) {}
@@ -40,22 +40,22 @@
         private final List<Waiting> mWaiting = new ArrayList<>();
         private final List<String> mCalls = new ArrayList<>();
         private long mRevision = 1;
-        private long mForgottenBefore;
+        private long mCompactedBefore;
         private boolean mSilent;
-        private boolean mWatchesDead;
+        private boolean mWatchesBroken;
         private Optional<StoreFailure> mRefusal = Optional.empty();
 
         @Override
         public CompletableFuture<Either<StoreFailure, EntryPage<String>>> list(
                 Optional<String> after) {
-            return answer("list", () -> Either.right(new Page(List.of(), mRevision)));
+            return respond("list", () -> Either.right(new Page(List.of(), mRevision)));
         }
 
         @Override
         public CompletableFuture<Either<StoreFailure, EntryPage<String>>> watch(
                 long revision, long waitMillis) {
             if (waitMillis == 0 || mSilent || mRefusal.isPresent() || changedSince(revision)) {
-                return answer("watch", () -> since(revision));
+                return respond("watch", () -> since(revision));
             }
             mCalls.add("watch");
             Waiting waiting = new Waiting(revision, new CompletableFuture<>());
@@ -70,24 +70,24 @@
         @Override
         public CompletableFuture<Either<StoreFailure, EntryPage<String>>> recentChanges(
                 long revision) {
-            return answer("check", () -> since(revision));
+            return respond("check", () -> since(revision));
         }
 
-        private CompletableFuture<Either<StoreFailure, EntryPage<String>>> answer(
+        private CompletableFuture<Either<StoreFailure, EntryPage<String>>> respond(
                 String call, Supplier<Either<StoreFailure, Page>> served) {
             mCalls.add(call);
-            CompletableFuture<Either<StoreFailure, Page>> answer = new CompletableFuture<>();
+            CompletableFuture<Either<StoreFailure, Page>> response = new CompletableFuture<>();
             if (mSilent) {
                 mExecutor.schedule(
-                        () -> answer.complete(Either.left(StoreFailure.NO_ANSWER)),
+                        () -> response.complete(Either.left(StoreFailure.NO_ANSWER)),
                         CALL_TIMEOUT_MILLIS,
                         TimeUnit.MILLISECONDS);
             } else if (mRefusal.isPresent()) {
-                answer.complete(Either.left(mRefusal.get()));
+                response.complete(Either.left(mRefusal.get()));
             } else {
-                answer.complete(served.get());
+                response.complete(served.get());
             }
-            return answer.thenApply(ScriptedStore::page);
+            return response.thenApply(ScriptedStore::page);
         }
 
         private static Either<StoreFailure, EntryPage<String>> page(
@@ -100,7 +100,7 @@
         }
 
         private Either<StoreFailure, Page> since(long revision) {
-            if (revision < mForgottenBefore) {
+            if (revision < mCompactedBefore) {
                 return Either.left(StoreFailure.HISTORY_GONE);
             }
             List<Entry<String>> entries =
@@ -113,7 +113,7 @@
 
         void change(String name) {
             mChanges.add(new Change(++mRevision, name));
-            if (!mSilent && !mWatchesDead) {
+            if (!mSilent && !mWatchesBroken) {
                 List<Waiting> waiting = List.copyOf(mWaiting);
                 mWaiting.clear();
                 waiting.forEach(watch -> watch.at().complete(since(watch.revision())));
@@ -130,7 +130,7 @@
         mClock = new VirtualClock(0);
         mExecutor = new VirtualExecutor(mClock);
         mStore = new ScriptedStore();
-        mTold = new ArrayList<>();
+        mEvents = new ArrayList<>();
         new Follower<>(mStore, listener(), mExecutor, mClock, () -> 1).start();
         mExecutor.advance(10);
     }
@@ -139,112 +139,122 @@
         return new EntryListener<>() {
             @Override
             public void onListing(List<Entry<String>> entries) {
-                mTold.add("listed");
+                mEvents.add("listed");
             }
 
             @Override
             public void onChange(Entry<String> entry) {
-                mTold.add(entry.name());
+                mEvents.add(entry.name());
             }
 
             @Override
             public void onStoreUnavailable(StoreFailure failure) {
-                mTold.add("lost");
+                mEvents.add("lost");
             }
 
             @Override
             public void onStoreAvailable(long awayMillis) {
-                mTold.add("regained");
+                mEvents.add("regained");
             }
         };
     }
 
-    /** Idle fleets kept the store busy: hosts times kinds, every two seconds. */
+    /** Idle deployments loaded the store with a call per host and kind every two seconds. */
     @Test
-    public void quietMinuteTakesFewFullCalls() {
+    public void idleMinuteTakesFewFullCalls() {
         mExecutor.advance(60_000);
         assertTrue(mStore.calls("watch") <= 4, "calls: " + mStore.mCalls);
         assertEquals(mStore.calls("list"), 1);
         assertTrue(mStore.calls("check") <= 30, "calls: " + mStore.mCalls);
     }
 
-    /** A fleet that starts made each host call once for each server that appeared. */
+    /** A starting deployment caused one call by each host for each new server. */
     @Test
-    public void serversThatAppearTogetherAreFewCalls() {
+    public void changesInQuickSuccessionTakeFewCalls() {
         for (int server = 0; server < 110; server++) {
             mStore.change("server-" + server);
             mExecutor.advance(40);
         }
-        mExecutor.advance(KNOWN_MILLIS);
-        assertEquals(mTold.size(), 1 + 110);
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(mEvents.size(), 1 + 110);
         assertTrue(mStore.calls("watch") <= 12, "calls: " + mStore.mCalls);
     }
 
-    /** Every change must be known in time, however close it follows upon another one. */
+    /** Every change must arrive in time, however soon it follows another one. */
     @Test
     public void changeRightAfterAnotherIsKnownInTime() {
         mStore.change("first");
         mExecutor.advance(1);
         mStore.change("second");
-        mExecutor.advance(KNOWN_MILLIS);
-        assertEquals(mTold, List.of("listed", "first", "second"));
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(mEvents, List.of("listed", "first", "second"));
     }
 
-    /** The connection of the open watch went silent for good, and no change was ever heard of. */
+    /**
+     * The connection of the open watch became permanently silent, and no change arrived any more.
+     */
     @Test
-    public void changeThatADeadWatchMissesIsKnownAfterTheNextCheck() {
-        mStore.mWatchesDead = true;
+    public void changeMissedByBrokenWatchIsFoundByNextCheck() {
+        mStore.mWatchesBroken = true;
         mExecutor.advance(5_000);
         mStore.change("unheard");
-        mExecutor.advance(KNOWN_MILLIS);
-        assertEquals(mTold, List.of("listed", "unheard"));
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(mEvents, List.of("listed", "unheard"));
     }
 
-    /** A watch begun before the store fell silent hung long after the store was back. */
+    /**
+     * A watch started before the store stopped responding hung long after the store had recovered.
+     */
     @Test
     public void silentStoreIsNoticedWhileAWatchWaits() {
         mStore.mSilent = true;
-        mExecutor.advance(Follower.CHECK_MILLIS + CALL_TIMEOUT_MILLIS);
-        assertEquals(mTold, List.of("listed", "lost"));
+        mExecutor.advance(Follower.CHECK_INTERVAL_MILLIS + CALL_TIMEOUT_MILLIS);
+        assertEquals(mEvents, List.of("listed", "lost"));
         mStore.change("meanwhile");
         mExecutor.advance(4_000);
         mStore.mSilent = false;
-        mExecutor.advance(KNOWN_MILLIS);
-        assertEquals(mTold, List.of("listed", "lost", "regained", "meanwhile"));
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(mEvents, List.of("listed", "lost", "regained", "meanwhile"));
     }
 
-    /** Hosts that are turned away for minutes must not fill the store's rate with their retries. */
+    /**
+     * Hosts that are rejected for minutes must not use up the store's rate limit with their
+     * retries.
+     */
     @Test
-    public void refusedHostCallsLessOftenAndIsBackInTime() {
+    public void rejectedHostBacksOffAndRecoversInTime() {
         mStore.mRefusal = Optional.of(StoreFailure.TURNED_AWAY);
         mExecutor.advance(60_000);
-        assertEquals(mTold, List.of("listed", "lost"));
+        assertEquals(mEvents, List.of("listed", "lost"));
         assertTrue(mStore.mCalls.size() < 60_000 / 500, "calls: " + mStore.mCalls.size());
         mStore.change("meanwhile");
         mStore.mRefusal = Optional.empty();
-        mExecutor.advance(KNOWN_MILLIS);
-        assertEquals(mTold, List.of("listed", "lost", "regained", "meanwhile"));
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
+        assertEquals(mEvents, List.of("listed", "lost", "regained", "meanwhile"));
     }
 
-    /** The store forgot its history while a watch waited; what lay between was never heard of. */
+    /**
+     * The store discarded its history while a watch was waiting; the changes in between never
+     * arrived.
+     */
     @Test
-    public void historyGoneAtACheckMeansAListing() {
-        mStore.mForgottenBefore = mStore.mRevision + 1;
+    public void historyGoneAtCheckTriggersListing() {
+        mStore.mCompactedBefore = mStore.mRevision + 1;
         mStore.mRevision += 1;
-        mExecutor.advance(Follower.CHECK_MILLIS + 2 * Follower.LEAST_PAUSE_MILLIS);
-        assertEquals(mTold, List.of("listed", "listed"));
+        mExecutor.advance(Follower.CHECK_INTERVAL_MILLIS + 2 * Follower.BASE_BACKOFF_MILLIS);
+        assertEquals(mEvents, List.of("listed", "listed"));
     }
 
-    /** A watch that was given up answers late; its changes are old and must not be taken in. */
+    /** An abandoned watch responds late; its changes are outdated and must not be applied. */
     @Test
-    public void lateAnswerOfAWatchThatWasGivenUpIsIgnored() {
-        mStore.mWatchesDead = true;
+    public void lateResponseOfAbandonedWatchIsIgnored() {
+        mStore.mWatchesBroken = true;
         mStore.change("first");
-        mExecutor.advance(KNOWN_MILLIS);
+        mExecutor.advance(MAX_PROPAGATION_MILLIS);
         Page old = new Page(List.of(new Entry<>("old", Either.right("old"))), 1);
         mStore.mWaiting.forEach(watch -> watch.at().complete(Either.right(old)));
         mExecutor.advance(1);
-        // Two watches waited, the open one and the one that was given up.
-        assertEquals(mTold, List.of("listed", "first", "old"));
+        // Two watches were pending: the open one and the abandoned one.
+        assertEquals(mEvents, List.of("listed", "first", "old"));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/VirtualExecutor.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/VirtualExecutor.java
@@ -14,23 +14,26 @@
 import java.util.concurrent.TimeUnit;
 import org.cyclamenpaddle.core.time.VirtualClock;
 
-/** Single thread in virtual time: tasks run in the order of their times while time is advanced. */
+/**
+ * Single-threaded executor in virtual time: advancing the time runs due tasks in order of their
+ * times.
+ */
 final class VirtualExecutor extends AbstractExecutorService implements ScheduledExecutorService {
 
     private final class Task<V> extends FutureTask<V> implements RunnableScheduledFuture<V> {
 
-        private final long mAtMillis;
-        private final long mNumber;
+        private final long mDueMillis;
+        private final long mSequence;
 
         Task(Callable<V> work, long delayMillis) {
             super(work);
-            mAtMillis = mClock.millis() + delayMillis;
-            mNumber = mTasks++;
+            mDueMillis = mClock.millis() + delayMillis;
+            mSequence = mTasks++;
         }
 
         @Override
         public long getDelay(TimeUnit unit) {
-            return unit.convert(mAtMillis - mClock.millis(), TimeUnit.MILLISECONDS);
+            return unit.convert(mDueMillis - mClock.millis(), TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -48,20 +51,20 @@
     private final VirtualClock mClock;
     private final PriorityQueue<Task<?>> mQueue =
             new PriorityQueue<>(
-                    Comparator.<Task<?>>comparingLong(task -> task.mAtMillis)
-                            .thenComparingLong(task -> task.mNumber));
+                    Comparator.<Task<?>>comparingLong(task -> task.mDueMillis)
+                            .thenComparingLong(task -> task.mSequence));
     private long mTasks;
 
     VirtualExecutor(VirtualClock clock) {
         mClock = clock;
     }
 
-    /** Lets time pass and runs what is due in it. */
+    /** Advances the time and runs the tasks that become due. */
     void advance(long millis) {
         long until = mClock.millis() + millis;
-        while (!mQueue.isEmpty() && mQueue.peek().mAtMillis <= until) {
+        while (!mQueue.isEmpty() && mQueue.peek().mDueMillis <= until) {
             Task<?> task = mQueue.poll();
-            mClock.advance(Math.max(0, task.mAtMillis - mClock.millis()));
+            mClock.advance(Math.max(0, task.mDueMillis - mClock.millis()));
             task.run();
         }
         mClock.advance(until - mClock.millis());
