--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimAsk.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimRequest.java
@@ -8,4 +8,4 @@
  * @param service the plain service
  * @param key the caller's Idempotency-Key
  */
-public record ClaimAsk(ServiceName service, String key) implements PeerMessage {}
+public record ClaimRequest(ServiceName service, String key) implements PeerMessage {}
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimAnswer.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ClaimResponse.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Answer to {@link ClaimAsk}.
+ * Answer to {@link ClaimRequest}.
  *
  * @param state what the claimer knows
- * @param answer the kept answer, if {@code state} is {@link State#RAN}
+ * @param response the kept answer, if {@code state} is {@link State#RAN}
  */
-public record ClaimAnswer(State state, Optional<KeptAnswer> answer) implements PeerMessage {
+public record ClaimResponse(State state, Optional<StoredResponse> response) implements PeerMessage {
 
     /** What a claimer knows of the call under a key. */
     public enum State {
@@ -31,5 +31,5 @@
      * @param contentType its media type
      * @param body its body
      */
-    public record KeptAnswer(int status, String contentType, String body) {}
+    public record StoredResponse(int status, String contentType, String body) {}
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationAnswer.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ConfigurationResponse.java
@@ -4,13 +4,13 @@
 import org.cyclamenpaddle.core.config.ConfigurationObject;
 
 /**
- * Configuration objects, in answer to {@link ConfigurationAsk} or pushed after a change.
+ * Configuration objects, in answer to {@link ConfigurationRequest} or pushed after a change.
  *
  * @param objects whole objects and tombstones
  */
-public record ConfigurationAnswer(List<ConfigurationObject> objects) implements PeerMessage {
+public record ConfigurationResponse(List<ConfigurationObject> objects) implements PeerMessage {
 
-    public ConfigurationAnswer {
+    public ConfigurationResponse {
         objects = List.copyOf(objects);
     }
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantDecision.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantDecision.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.core.message;
 
-/** What an owner decided on a {@link GrantAsk}. */
+/** What an owner decided on a {@link GrantRequest}. */
 public enum GrantDecision {
     /** The room is promised from the stated time on. */
     GRANTED,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRegister.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRegister.java
@@ -7,7 +7,7 @@
  *
  * @param held one ask for each attempt, with {@code neededInMillis} 0 if it runs already
  */
-public record GrantRegister(List<GrantAsk> held) implements PeerMessage {
+public record GrantRegister(List<GrantRequest> held) implements PeerMessage {
 
     public GrantRegister {
         held = List.copyOf(held);
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantEnd.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRelease.java
@@ -9,4 +9,4 @@
  * @param attempt the attempt
  * @param backend the backend server
  */
-public record GrantEnd(AttemptId attempt, BackendId backend) implements PeerMessage {}
+public record GrantRelease(AttemptId attempt, BackendId backend) implements PeerMessage {}
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantAsk.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRequest.java
@@ -17,7 +17,7 @@
  * @param latestInMillis when the room is of no use any more, from now
  * @param holdMillis how long the room is expected to be held
  */
-public record GrantAsk(
+public record GrantRequest(
         AttemptId attempt,
         BackendId backend,
         BackendRole role,
@@ -29,7 +29,7 @@
         long holdMillis)
         implements PeerMessage {
 
-    public GrantAsk {
+    public GrantRequest {
         if (attempt == null || backend == null || role == null) {
             throw new IllegalArgumentException("grant ask lacks attempt, backend or role");
         }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantAnswer.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantResponse.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /**
- * Answer to {@link GrantAsk}.
+ * Answer to {@link GrantRequest}.
  *
  * @param attempt the attempt that asked
  * @param backend the backend server
@@ -12,7 +12,7 @@
  * @param startInMillis when the room is, or would be, there, from now
  * @param endInMillis when the granted work is expected to end, from now
  */
-public record GrantAnswer(
+public record GrantResponse(
         AttemptId attempt,
         BackendId backend,
         GrantDecision decision,
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostRecord.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/HostRecord.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns this record with another state. */
-    public HostRecord in(HostState newState) {
+    public HostRecord withState(HostState newState) {
         return new HostRecord(incarnation, domain, address, peerPort, httpPort, newState);
     }
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/PeerMessage.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/PeerMessage.java
@@ -2,16 +2,16 @@
 
 /** A message from one entry host to another. */
 public sealed interface PeerMessage
-        permits ClaimAnswer,
-                ClaimAsk,
-                ConfigurationAnswer,
-                ConfigurationAsk,
-                GrantAnswer,
-                GrantAsk,
-                GrantEnd,
+        permits ClaimResponse,
+                ClaimRequest,
+                ConfigurationResponse,
+                ConfigurationRequest,
+                GrantResponse,
+                GrantRequest,
+                GrantRelease,
                 GrantRegister,
                 Heartbeat,
                 Hello,
-                ProbeAnswer,
-                ProbeAsk,
+                ProbeResponse,
+                ProbeRequest,
                 StrikeNotice {}
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ProbeAsk.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/ProbeRequest.java
@@ -5,4 +5,4 @@
  *
  * @param target the silent host
  */
-public record ProbeAsk(HostRecord target) implements PeerMessage {}
+public record ProbeRequest(HostRecord target) implements PeerMessage {}
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/Refusal.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/Refusal.java
@@ -23,7 +23,7 @@
 
     /** Returns a refusal whose wait, where waiting helps, is one second. */
     public static Refusal of(RefusalReason reason, String detail) {
-        long wait = reason.waitingHelps() ? DEFAULT_RETRY_AFTER_MILLIS : 0;
+        long wait = reason.retryable() ? DEFAULT_RETRY_AFTER_MILLIS : 0;
         return new Refusal(reason, detail, wait);
     }
 }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RefusalReason.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/outcome/RefusalReason.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns whether the answer carries {@code Retry-After}. */
-    public boolean waitingHelps() {
+    public boolean retryable() {
         return mWaitingHelps;
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
 
 /** What the process has to do on behalf of a {@link BookingMachine}. */
 public sealed interface BookingEffect {
@@ -44,15 +44,15 @@
      * @param holder the incarnation that holds the claim
      * @param ask the ask
      */
-    record AskClaimer(Incarnation holder, ClaimAsk ask) implements BookingEffect {}
+    record QueryClaimHolder(Incarnation holder, ClaimRequest request) implements BookingEffect {}
 
     /**
      * Ask every host of the view, this one too, what it knows of the key; report by {@link
-     * BookingEvent.PeersAnswered} within a fraction of a second.
+     * BookingEvent.PeersResponded} within a fraction of a second.
      *
      * @param ask the ask
      */
-    record AskPeers(ClaimAsk ask) implements BookingEffect {}
+    record QueryPeers(ClaimRequest request) implements BookingEffect {}
 
     /**
      * Have the outcome written by {@link ClaimShard#outcome}, in the background until it is kept.
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAnswer.KeptAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 
 /** What may happen to a {@link BookingMachine}. */
 public sealed interface BookingEvent {
@@ -19,7 +19,7 @@
     record ClaimConflict(ClaimRecord existing) implements BookingEvent {}
 
     /** The claim was sent, and no answer came. */
-    record ClaimAnswerLost() implements BookingEvent {}
+    record ClaimResponseLost() implements BookingEvent {}
 
     /**
      * The claim under the key was read back.
@@ -32,9 +32,9 @@
      * No claim can be had now: the platform is away.
      *
      * <p>Whoever tells this frees a claim that may have been sent, unless it told {@link
-     * ClaimAnswerLost} before.
+     * ClaimResponseLost} before.
      */
-    record PlatformAway() implements BookingEvent {}
+    record PlatformUnavailable() implements BookingEvent {}
 
     /** A connection to a backend server is open and nothing was written on it yet. */
     record Connected() implements BookingEvent {}
@@ -54,7 +54,7 @@
      *
      * @param answer the response
      */
-    record ResponseComplete(KeptAnswer answer) implements BookingEvent {}
+    record ResponseComplete(StoredResponse response) implements BookingEvent {}
 
     /** The call failed after its first byte may have left. */
     record FailedAfterFirstByte() implements BookingEvent {}
@@ -64,21 +64,22 @@
      *
      * @param answer what it said
      */
-    record ClaimerAnswered(ClaimAnswer answer) implements BookingEvent {}
+    record ClaimHolderResponded(ClaimResponse response) implements BookingEvent {}
 
     /** The host that holds the claim did not answer, or is dead. */
-    record ClaimerUnreachable() implements BookingEvent {}
+    record ClaimHolderUnreachable() implements BookingEvent {}
 
     /**
      * The peers said what they know of the key.
      *
      * @param states what each host asked knows, this one's other calls among them
      * @param complete whether every host of the view answered, in the life in which the view has
-     *     it, and no host was lost lately ({@code Membership.lostLately})
+     *     it, and no host was lost lately ({@code Membership.hostLostWithin})
      */
-    record PeersAnswered(List<ClaimAnswer.State> states, boolean complete) implements BookingEvent {
+    record PeersResponded(List<ClaimResponse.State> states, boolean complete)
+            implements BookingEvent {
 
-        public PeersAnswered {
+        public PeersResponded {
             states = List.copyOf(states);
         }
 
@@ -88,8 +89,8 @@
                     && states.stream()
                             .allMatch(
                                     state ->
-                                            state == ClaimAnswer.State.NO_RECORD
-                                                    || state == ClaimAnswer.State.NOT_RUN);
+                                            state == ClaimResponse.State.NO_RECORD
+                                                    || state == ClaimResponse.State.NOT_RUN);
         }
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAnswer.KeptAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.Abort;
-import org.cyclamenpaddle.fleet.claim.BookingEffect.AskClaimer;
-import org.cyclamenpaddle.fleet.claim.BookingEffect.AskPeers;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.Dispatch;
+import org.cyclamenpaddle.fleet.claim.BookingEffect.QueryClaimHolder;
+import org.cyclamenpaddle.fleet.claim.BookingEffect.QueryPeers;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.ReadClaim;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.RecordOutcome;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.Reply;
@@ -42,7 +42,7 @@
     private int mTries;
     private boolean mReplied;
     private Optional<ClaimRecord> mForeign = Optional.empty();
-    private Optional<KeptAnswer> mAnswer = Optional.empty();
+    private Optional<StoredResponse> mAnswer = Optional.empty();
 
     /**
      * Creates the machine of a call that has not started.
@@ -79,17 +79,17 @@
             held(nowMillis, effects);
         } else if (event instanceof BookingEvent.ClaimConflict conflict) {
             standing(Optional.of(conflict.existing()), nowMillis, effects);
-        } else if (event instanceof BookingEvent.ClaimAnswerLost) {
+        } else if (event instanceof BookingEvent.ClaimResponseLost) {
             readBack(effects);
         } else if (event instanceof BookingEvent.ClaimRead read) {
             standing(read.existing(), nowMillis, effects);
-        } else if (event instanceof BookingEvent.PlatformAway) {
+        } else if (event instanceof BookingEvent.PlatformUnavailable) {
             withoutClaim(nowMillis, effects);
-        } else if (event instanceof BookingEvent.ClaimerAnswered answered) {
-            claimerAnswered(answered.answer(), nowMillis, effects);
-        } else if (event instanceof BookingEvent.ClaimerUnreachable) {
+        } else if (event instanceof BookingEvent.ClaimHolderResponded answered) {
+            claimerAnswered(answered.response(), nowMillis, effects);
+        } else if (event instanceof BookingEvent.ClaimHolderUnreachable) {
             claimerUnreachable(effects);
-        } else if (event instanceof BookingEvent.PeersAnswered answered) {
+        } else if (event instanceof BookingEvent.PeersResponded answered) {
             peersAnswered(answered, nowMillis, effects);
         } else if (event instanceof BookingEvent.Wake) {
             wake(effects);
@@ -112,19 +112,19 @@
     }
 
     /**
-     * Returns what this host answers to {@link ClaimAsk} about its own attempt.
+     * Returns what this host answers to {@link ClaimRequest} about its own attempt.
      *
      * <p>A call whose claim is still open counts as running, since it may yet be had.
      */
-    public ClaimAnswer answer() {
-        ClaimAnswer.State state =
+    public ClaimResponse claimResponse() {
+        ClaimResponse.State state =
                 switch (mState) {
-                    case RAN -> ClaimAnswer.State.RAN;
-                    case NOT_RUN, ASKING_PEERS -> ClaimAnswer.State.NOT_RUN;
-                    case UNKNOWN, FOREIGN -> ClaimAnswer.State.UNKNOWN;
-                    default -> ClaimAnswer.State.RUNNING;
+                    case RAN -> ClaimResponse.State.RAN;
+                    case NOT_RUN, ASKING_PEERS -> ClaimResponse.State.NOT_RUN;
+                    case UNKNOWN, FOREIGN -> ClaimResponse.State.UNKNOWN;
+                    default -> ClaimResponse.State.RUNNING;
                 };
-        return new ClaimAnswer(state, mAnswer);
+        return new ClaimResponse(state, mAnswer);
     }
 
     private void onBackend(BookingEvent event, long nowMillis, List<BookingEffect> effects) {
@@ -135,7 +135,7 @@
         } else if (event instanceof BookingEvent.ConnectFailedBeforeFirstByte) {
             connectFailed(nowMillis, effects);
         } else if (event instanceof BookingEvent.ResponseComplete complete) {
-            complete(complete.answer(), effects);
+            complete(complete.response(), effects);
         } else if (event instanceof BookingEvent.FailedAfterFirstByte) {
             failed(effects);
         }
@@ -162,7 +162,7 @@
             return;
         }
         Optional<ClaimRecord> standing =
-                existing.filter(claim -> claim.sameAttempt(mClaim) || !claim.state().frees());
+                existing.filter(claim -> claim.sameAttempt(mClaim) || !claim.state().releasesKey());
         if (standing.isEmpty()) {
             mState = BookingState.CLAIMING;
             effects.add(new WriteClaim(mClaim));
@@ -191,27 +191,29 @@
             claimerUnreachable(effects);
             return;
         }
-        effects.add(new AskClaimer(holder.get(), ask()));
+        effects.add(new QueryClaimHolder(holder.get(), ask()));
     }
 
-    private void claimerAnswered(ClaimAnswer answer, long nowMillis, List<BookingEffect> effects) {
+    private void claimerAnswered(
+            ClaimResponse answer, long nowMillis, List<BookingEffect> effects) {
         if (mState != BookingState.ASKING) {
             return;
         }
         switch (answer.state()) {
-            case RAN -> replay(answer.answer(), effects);
-            case RUNNING, NOT_RUN -> effects.add(new WakeAt(nowMillis + mSettings.askMillis()));
+            case RAN -> replay(answer.response(), effects);
+            case RUNNING, NOT_RUN ->
+                    effects.add(new WakeAt(nowMillis + mSettings.queryIntervalMillis()));
             default -> claimerUnreachable(effects);
         }
     }
 
-    private void replay(Optional<KeptAnswer> answer, List<BookingEffect> effects) {
+    private void replay(Optional<StoredResponse> answer, List<BookingEffect> effects) {
         if (answer.isEmpty()) {
             finishForeign(RefusalReason.ANSWER_EXPIRED, effects);
             return;
         }
         mState = BookingState.FOREIGN;
-        reply(new BookingReply.Answered(answer.get(), true), effects);
+        reply(new BookingReply.Completed(answer.get(), true), effects);
     }
 
     private void claimerUnreachable(List<BookingEffect> effects) {
@@ -277,14 +279,14 @@
         }
     }
 
-    private void complete(KeptAnswer answer, List<BookingEffect> effects) {
+    private void complete(StoredResponse answer, List<BookingEffect> effects) {
         if (mState != BookingState.SENT && mState != BookingState.UNKNOWN) {
             return;
         }
         mState = BookingState.RAN;
         mAnswer = Optional.of(answer);
         effects.add(new RecordOutcome(mClaim, ClaimState.RAN));
-        reply(new BookingReply.Answered(answer, false), effects);
+        reply(new BookingReply.Completed(answer, false), effects);
     }
 
     private void failed(List<BookingEffect> effects) {
@@ -318,24 +320,24 @@
         // another host. Saying not run would make the caller book again under a new key.
         mState = BookingState.ASKING_PEERS;
         mAskedPeersMillis = nowMillis;
-        effects.add(new AskPeers(ask()));
+        effects.add(new QueryPeers(ask()));
     }
 
     private void peersAnswered(
-            BookingEvent.PeersAnswered answered, long nowMillis, List<BookingEffect> effects) {
+            BookingEvent.PeersResponded answered, long nowMillis, List<BookingEffect> effects) {
         if (mState != BookingState.ASKING_PEERS) {
             return;
         }
         mState = BookingState.NOT_RUN;
         // If this host was paused, the caller may have sent the call again through another host
         // since the peers answered.
-        boolean recent = nowMillis - mAskedPeersMillis <= mSettings.peersMillis();
+        boolean recent = nowMillis - mAskedPeersMillis <= mSettings.peerResponseMaxAgeMillis();
         boolean unused = recent && answered.provesUnused();
         refuse(unused ? RefusalReason.PLATFORM_AWAY : RefusalReason.CLAIM_UNREADABLE, effects);
     }
 
-    private ClaimAsk ask() {
-        return new ClaimAsk(mClaim.key().service(), mClaim.key().key());
+    private ClaimRequest ask() {
+        return new ClaimRequest(mClaim.key().service(), mClaim.key().key());
     }
 
     private void timeout(long nowMillis, List<BookingEffect> effects) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingReply.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingReply.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.fleet.claim;
 
-import org.cyclamenpaddle.core.message.ClaimAnswer.KeptAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 
@@ -16,7 +16,7 @@
      * @param answer the backend server's response
      * @param replayed whether it was kept from an earlier call under the key
      */
-    record Answered(KeptAnswer answer, boolean replayed) implements BookingReply {
+    record Completed(StoredResponse response, boolean replayed) implements BookingReply {
 
         @Override
         public RunOutcome outcome() {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingTable.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingTable.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 
 /**
  * The keyed calls of this host, kept for asks about their keys.
  *
  * <p>The oldest finished calls make room for new ones. From then on a key without a record may be
- * one that was dropped, and is answered with {@link ClaimAnswer.State#UNKNOWN} for as long as
+ * one that was dropped, and is answered with {@link ClaimResponse.State#UNKNOWN} for as long as
  * callers may send it again. Not thread-safe.
  */
 public final class BookingTable {
@@ -62,14 +62,14 @@
      * @param key the key
      * @param asking attempt of this host that asks and is left out, if any
      * @param lostLately whether the memory of another host was lost within the time in which
-     *     callers send a call again ({@code Membership.lostLately}); a host that was started since
-     *     asks this one because it can't know of that loss
+     *     callers send a call again ({@code Membership.hostLostWithin}); a host that was started
+     *     since asks this one because it can't know of that loss
      */
-    public ClaimAnswer answer(
+    public ClaimResponse claimResponse(
             ClaimKey key, Optional<AttemptId> asking, boolean lostLately, long nowMillis) {
         return mByKey.getOrDefault(key, List.of()).stream()
                 .filter(call -> asking.filter(call.claim().attempt()::equals).isEmpty())
-                .map(BookingMachine::answer)
+                .map(BookingMachine::claimResponse)
                 .min(Comparator.comparing(BookingTable::rank))
                 .orElseGet(() -> withoutRecord(lostLately, nowMillis));
     }
@@ -79,13 +79,13 @@
         return mCalls.size();
     }
 
-    private ClaimAnswer withoutRecord(boolean lostLately, long nowMillis) {
+    private ClaimResponse withoutRecord(boolean lostLately, long nowMillis) {
         boolean maybeDropped =
                 mNewestDroppedMillis.filter(at -> nowMillis - at < mResendMillis).isPresent();
-        return new ClaimAnswer(
+        return new ClaimResponse(
                 lostLately || maybeDropped
-                        ? ClaimAnswer.State.UNKNOWN
-                        : ClaimAnswer.State.NO_RECORD,
+                        ? ClaimResponse.State.UNKNOWN
+                        : ClaimResponse.State.NO_RECORD,
                 Optional.empty());
     }
 
@@ -108,13 +108,13 @@
         } else {
             mByKey.put(claim.key(), rest);
         }
-        if (entry.machine().answer().state() != ClaimAnswer.State.NOT_RUN) {
+        if (entry.machine().claimResponse().state() != ClaimResponse.State.NOT_RUN) {
             long before = mNewestDroppedMillis.orElse(Long.MIN_VALUE);
             mNewestDroppedMillis = Optional.of(Math.max(before, entry.startedMillis()));
         }
     }
 
-    private static int rank(ClaimAnswer answer) {
+    private static int rank(ClaimResponse answer) {
         return switch (answer.state()) {
             case RAN -> 0;
             case RUNNING -> 1;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimIntent.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimIntent.java
@@ -15,7 +15,7 @@
 
     /** Returns whether somebody waits for it: a caller, or the next attempt on a freed key. */
     boolean urgent() {
-        return makesClaim() || target.frees();
+        return makesClaim() || target.releasesKey();
     }
 
     ClaimIntent asSent() {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
@@ -106,7 +106,7 @@
             mKept.add(intent);
         } else if (mine) {
             Invariants.require(
-                    existing.get().state().mayBecome(intent.target()),
+                    existing.get().state().canTransitionTo(intent.target()),
                     () -> existing.get() + " must not become " + intent.target());
             put(intent, existing);
         } else if (mWriteMayLand && intent.sent() && free(existing)) {
@@ -120,7 +120,7 @@
     }
 
     private void put(ClaimIntent intent, Optional<ClaimRecord> replaced) {
-        ClaimRecord claim = intent.claim().in(intent.target());
+        ClaimRecord claim = intent.claim().withState(intent.target());
         replaced.ifPresent(this::remove);
         mClaims.put(claim.key(), claim);
         mCharacters += mCodec.length(claim);
@@ -133,6 +133,6 @@
     }
 
     private static boolean free(Optional<ClaimRecord> existing) {
-        return existing.map(claim -> claim.state().frees()).orElse(true);
+        return existing.map(claim -> claim.state().releasesKey()).orElse(true);
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimRecord.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimRecord.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns this claim in another state. */
-    public ClaimRecord in(ClaimState newState) {
+    public ClaimRecord withState(ClaimState newState) {
         return new ClaimRecord(key, fingerprint, attempt, newState, claimedEpochMillis);
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimVerdict.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimResult.java
@@ -2,16 +2,16 @@
 
 import org.cyclamenpaddle.fleet.claim.BookingEvent.ClaimConflict;
 import org.cyclamenpaddle.fleet.claim.BookingEvent.ClaimWritten;
-import org.cyclamenpaddle.fleet.claim.BookingEvent.PlatformAway;
+import org.cyclamenpaddle.fleet.claim.BookingEvent.PlatformUnavailable;
 
 /** What became of a claim. */
-public sealed interface ClaimVerdict {
+public sealed interface ClaimResult {
 
     /** Returns the event that tells the call. */
     BookingEvent event();
 
     /** The platform keeps it. */
-    record Held() implements ClaimVerdict {
+    record Acquired() implements ClaimResult {
 
         @Override
         public BookingEvent event() {
@@ -24,7 +24,7 @@
      *
      * @param existing its claim
      */
-    record Taken(ClaimRecord existing) implements ClaimVerdict {
+    record HeldByOther(ClaimRecord existing) implements ClaimResult {
 
         @Override
         public BookingEvent event() {
@@ -33,11 +33,11 @@
     }
 
     /** It could not be had: the platform is away, or the shard is full. */
-    record Unavailable() implements ClaimVerdict {
+    record Unavailable() implements ClaimResult {
 
         @Override
         public BookingEvent event() {
-            return new PlatformAway();
+            return new PlatformUnavailable();
         }
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShard.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShard.java
@@ -68,7 +68,7 @@
     public List<ClaimShardEffect> claim(ClaimRecord claim, long nowEpochMillis) {
         mNowEpochMillis = nowEpochMillis;
         if (mPhase == Phase.WAITING) {
-            return List.of(new Settled(claim, new ClaimVerdict.Unavailable()));
+            return List.of(new Settled(claim, new ClaimResult.Unavailable()));
         }
         mPending.put(claim.attempt(), new ClaimIntent(claim, ClaimState.CLAIMED, false));
         return proceed();
@@ -147,7 +147,7 @@
     }
 
     /** Takes in that the write under way may or may not be kept. */
-    public List<ClaimShardEffect> onAnswerLost() {
+    public List<ClaimShardEffect> onResponseLost() {
         markSent();
         mLostOnVersion = Optional.of(mBase.orElseThrow().version());
         mInFlight = Optional.empty();
@@ -163,7 +163,7 @@
      *
      * @param nowMillis reading of this host's clock
      */
-    public List<ClaimShardEffect> onPlatformAway(long nowMillis) {
+    public List<ClaimShardEffect> onPlatformUnavailable(long nowMillis) {
         mInFlight = Optional.empty();
         mPhase = Phase.WAITING;
         mRetryAtMillis = nowMillis + mSettings.retryMillis();
@@ -247,14 +247,14 @@
         }
         mPending.remove(attempt);
         if (intent.makesClaim()) {
-            effects.add(new Settled(intent.claim(), new ClaimVerdict.Held()));
+            effects.add(new Settled(intent.claim(), new ClaimResult.Acquired()));
         }
     }
 
     private void settleTaken(
             ClaimIntent intent, ClaimRecord claim, List<ClaimShardEffect> effects) {
         mPending.remove(intent.claim().attempt());
-        effects.add(new Settled(intent.claim(), new ClaimVerdict.Taken(claim)));
+        effects.add(new Settled(intent.claim(), new ClaimResult.HeldByOther(claim)));
     }
 
     private void giveUp(ClaimIntent intent, List<ClaimShardEffect> effects) {
@@ -263,7 +263,7 @@
         } else {
             mPending.remove(intent.claim().attempt());
         }
-        effects.add(new Settled(intent.claim(), new ClaimVerdict.Unavailable()));
+        effects.add(new Settled(intent.claim(), new ClaimResult.Unavailable()));
     }
 
     private void markSent() {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardEffect.java
@@ -27,5 +27,5 @@
      * @param claim the claim
      * @param verdict what became of it
      */
-    record Settled(ClaimRecord claim, ClaimVerdict verdict) implements ClaimShardEffect {}
+    record Settled(ClaimRecord claim, ClaimResult result) implements ClaimShardEffect {}
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimState.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimState.java
@@ -34,12 +34,12 @@
     }
 
     /** Returns whether another attempt may claim the key. */
-    public boolean frees() {
+    public boolean releasesKey() {
         return this == NOT_RUN;
     }
 
     /** Returns whether the holder may change this state to {@code next}. */
-    public boolean mayBecome(ClaimState next) {
+    public boolean canTransitionTo(ClaimState next) {
         return this == CLAIMED ? next != CLAIMED : this == UNKNOWN && next == RAN;
     }
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationEffect.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import org.cyclamenpaddle.core.config.ConfigurationObject;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 
 /** What the process has to do on behalf of {@link ConfigurationSync}. */
@@ -29,14 +29,15 @@
      * @param peer whom to ask
      * @param ask what this host has
      */
-    record AskPeer(HostRecord peer, ConfigurationAsk ask) implements ConfigurationEffect {}
+    record QueryPeer(HostRecord peer, ConfigurationRequest request)
+            implements ConfigurationEffect {}
 
     /**
      * Answer a peer's ask.
      *
      * @param answer what it lacks
      */
-    record Answer(ConfigurationAnswer answer) implements ConfigurationEffect {}
+    record Respond(ConfigurationResponse response) implements ConfigurationEffect {}
 
     /**
      * The replica took in newer objects; decisions have to be made by them from now on.
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplica.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplica.java
@@ -65,7 +65,7 @@
     }
 
     /** Returns the versions kept by key path, for an ask to a peer. */
-    public Map<String, Long> known() {
+    public Map<String, Long> knownVersions() {
         return mObjects.values().stream()
                 .collect(Collectors.toMap(o -> o.key().path(), ConfigurationObject::version));
     }
@@ -91,7 +91,8 @@
      * @param revision the platform's revision at the listing
      * @param listed all objects that it holds
      */
-    public List<ConfigurationObject> missingFrom(long revision, List<ConfigurationObject> listed) {
+    public List<ConfigurationObject> tombstonesForMissing(
+            long revision, List<ConfigurationObject> listed) {
         Set<ObjectKey> present =
                 listed.stream().map(ConfigurationObject::key).collect(Collectors.toSet());
         return mObjects.values().stream()
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.config.ConfigurationObject;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
-import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.Answer;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.Applied;
-import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.AskPeer;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.ListPlatform;
+import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.QueryPeer;
+import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.Respond;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.StartWatch;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect.StopWatch;
 import org.cyclamenpaddle.fleet.ownership.Ownership;
@@ -91,7 +91,7 @@
             return List.of();
         }
         List<ConfigurationObject> all = new ArrayList<>(listed);
-        all.addAll(mReplica.missingFrom(revision, listed));
+        all.addAll(mReplica.tombstonesForMissing(revision, listed));
         return follow(revision, all);
     }
 
@@ -135,16 +135,17 @@
             return List.of();
         }
         mAskedMillis = Optional.of(nowMillis);
-        return List.of(new AskPeer(peer, new ConfigurationAsk(mReplica.known())));
+        return List.of(new QueryPeer(peer, new ConfigurationRequest(mReplica.knownVersions())));
     }
 
     /** Answers a peer that asks for what it lacks. */
-    public List<ConfigurationEffect> onPeerAsk(ConfigurationAsk ask) {
-        return List.of(new Answer(new ConfigurationAnswer(mReplica.newerThan(ask.known()))));
+    public List<ConfigurationEffect> onPeerRequest(ConfigurationRequest ask) {
+        return List.of(
+                new Respond(new ConfigurationResponse(mReplica.newerThan(ask.knownVersions()))));
     }
 
     /** Takes in a peer's answer, or objects that it pushed. */
-    public List<ConfigurationEffect> onPeerAnswer(ConfigurationAnswer answer) {
+    public List<ConfigurationEffect> onPeerResponse(ConfigurationResponse answer) {
         mAskedMillis = Optional.empty();
         return apply(answer.objects());
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Confirmation.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Confirmation.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.ProbeByNewConnection;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.SendTo;
 
@@ -80,7 +80,7 @@
             mView.changed(member, effects);
         }
         effects.add(new ProbeByNewConnection(member.record()));
-        ProbeAsk ask = new ProbeAsk(member.record());
+        ProbeRequest ask = new ProbeRequest(member.record());
         helpers.forEach(helper -> effects.add(new SendTo(helper, ask)));
     }
 
@@ -176,7 +176,7 @@
         List<HostRecord> candidates =
                 mView.table().records(m -> m.state() == HostState.ALIVE && m != suspect);
         List<HostRecord> chosen = new ArrayList<>();
-        while (chosen.size() < mSettings.probeHelpers() && !candidates.isEmpty()) {
+        while (chosen.size() < mSettings.indirectProbes() && !candidates.isEmpty()) {
             chosen.add(candidates.remove(mRandom.nextInt(candidates.size())));
         }
         return chosen;
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/GossipReader.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/GossipReader.java
@@ -95,7 +95,7 @@
         boolean foreign = !from.domain().equals(mView.self().domain());
         if (foreign && member.relayDeathOnce()) {
             List<HostRecord> targets = mView.plan().relayTargets(mView.self());
-            effects.addAll(mWriter.to(targets, List.of(member.record().in(HostState.DEAD))));
+            effects.addAll(mWriter.to(targets, List.of(member.record().withState(HostState.DEAD))));
         }
         mConfirmation.suspect(member, false, nowMillis, effects);
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatWriter.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/HeartbeatWriter.java
@@ -73,7 +73,9 @@
         Set<HostRecord> records =
                 new HashSet<>(
                         table.records(
-                                m -> nowMillis - m.changedMillis() < mSettings.recentMillis()));
+                                m ->
+                                        nowMillis - m.changedMillis()
+                                                < mSettings.recentChangeMillis()));
         records.addAll(table.inTurn(mSettings.gossipRecords(), member -> true));
         return records.stream()
                 .filter(record -> record.state() != HostState.SUSPECT)
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Standing.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/IncarnationStatus.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.message.HostState;
 
 /** What is known of one life of a host. */
-public enum Standing {
+public enum IncarnationStatus {
     /** That life goes on as far as is known, be the host suspect or leaving. */
     RUNNING,
     /** That life ended: the host is confirmed dead, or a later life of it was heard of. */
@@ -13,7 +13,7 @@
     /** Nothing is known of it. */
     UNKNOWN;
 
-    static Standing of(HostRecord record, Incarnation incarnation) {
+    static IncarnationStatus of(HostRecord record, Incarnation incarnation) {
         if (record.incarnation().supersedes(incarnation)) {
             return ENDED;
         }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Member.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Member.java
@@ -139,7 +139,7 @@
         if (mRecord.state() == state) {
             return false;
         }
-        mRecord = mRecord.in(state);
+        mRecord = mRecord.withState(state);
         mChangedMillis = nowMillis;
         return true;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberView.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MemberView.java
@@ -39,7 +39,7 @@
     }
 
     void leave() {
-        mSelf = mSelf.in(HostState.LEAVING);
+        mSelf = mSelf.withState(HostState.LEAVING);
         replan();
     }
 
@@ -48,7 +48,7 @@
             mSupersededMillis = Optional.of(nowMillis);
         }
         HostRecord unsuspected =
-                record.state() == HostState.SUSPECT ? record.in(HostState.ALIVE) : record;
+                record.state() == HostState.SUSPECT ? record.withState(HostState.ALIVE) : record;
         Member member = mTable.put(unsuspected, nowMillis);
         replan();
         changed(member, effects);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
@@ -17,8 +17,8 @@
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.HostChanged;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.ProbeByNewConnection;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.SendTo;
@@ -123,15 +123,16 @@
     /**
      * Takes in that another host wants a new connection tried.
      *
-     * @param asker who gets the {@link ProbeAnswer}
+     * @param asker who gets the {@link ProbeResponse}
      */
-    public List<MembershipEffect> onProbeAsk(HostRecord asker, ProbeAsk ask, long nowMillis) {
+    public List<MembershipEffect> onProbeRequest(
+            HostRecord asker, ProbeRequest ask, long nowMillis) {
         mAskers.computeIfAbsent(ask.target().incarnation(), t -> new LinkedHashSet<>()).add(asker);
         return List.of(new ProbeByNewConnection(ask.target()));
     }
 
     /** Takes in what a host that was asked found out. */
-    public List<MembershipEffect> onProbeAnswer(ProbeAnswer answer, long nowMillis) {
+    public List<MembershipEffect> onProbeResponse(ProbeResponse answer, long nowMillis) {
         List<MembershipEffect> effects = new ArrayList<>();
         noticeOwnPause(nowMillis);
         mView.table()
@@ -151,7 +152,7 @@
         List<MembershipEffect> effects = new ArrayList<>();
         noticeOwnPause(nowMillis);
         Optional.ofNullable(mAskers.remove(target)).orElse(Set.of()).stream()
-                .map(asker -> new SendTo(asker, new ProbeAnswer(target, reachable)))
+                .map(asker -> new SendTo(asker, new ProbeResponse(target, reachable)))
                 .forEach(effects::add);
         mView.table()
                 .member(target)
@@ -234,10 +235,10 @@
     }
 
     /** Returns what is known of one life of a host, for those who act on the end of a life. */
-    public Standing standing(Incarnation incarnation) {
+    public IncarnationStatus incarnationStatus(Incarnation incarnation) {
         return record(incarnation.host())
-                .map(record -> Standing.of(record, incarnation))
-                .orElse(Standing.UNKNOWN);
+                .map(record -> IncarnationStatus.of(record, incarnation))
+                .orElse(IncarnationStatus.UNKNOWN);
     }
 
     /**
@@ -246,7 +247,7 @@
      *
      * @param spanMillis the span that ends now
      */
-    public boolean lostLately(long spanMillis, long nowMillis) {
+    public boolean hostLostWithin(long spanMillis, long nowMillis) {
         return mView.lostSince(nowMillis - spanMillis);
     }
 
@@ -321,7 +322,7 @@
                 member ->
                         member.dead()
                                 && nowMillis - member.changedMillis()
-                                        >= mSettings.forgetDeadMillis());
+                                        >= mSettings.deadHostRetentionMillis());
         mDigests.keySet().removeIf(host -> table.member(host).filter(m -> !m.dead()).isEmpty());
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MembershipSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/MembershipSettings.java
@@ -25,12 +25,12 @@
  * @param probeTimeoutMillis time for a new connection and for the answers of the hosts asked
  * @param tickMillis interval at which {@link Membership#tick} is called
  * @param retryMillis interval of tries to reach dead, unreachable and hinted hosts
- * @param forgetDeadMillis how long a dead host stays in the view
- * @param recentMillis how long a changed record is repeated in each heartbeat
+ * @param deadHostRetentionMillis how long a dead host stays in the view
+ * @param recentChangeMillis how long a changed record is repeated in each heartbeat
  * @param fullMeshHosts up to so many hosts, each sends heartbeats to all others
  * @param domainWatchers in a greater fleet, how many hosts of its domain watch a host
  * @param otherWatchers how many hosts of other domains watch it besides
- * @param probeHelpers how many other hosts are asked to try a suspect
+ * @param indirectProbes how many other hosts are asked to try a suspect
  * @param gossipRecords how many records each heartbeat carries in turn
  */
 public record MembershipSettings(
@@ -39,12 +39,12 @@
         long probeTimeoutMillis,
         long tickMillis,
         long retryMillis,
-        long forgetDeadMillis,
-        long recentMillis,
+        long deadHostRetentionMillis,
+        long recentChangeMillis,
         int fullMeshHosts,
         int domainWatchers,
         int otherWatchers,
-        int probeHelpers,
+        int indirectProbes,
         int gossipRecords) {
 
     /** Settings that meet the bounds named above. */
@@ -70,7 +70,7 @@
                             + retryMillis
                             + " ms must be above 0");
         }
-        if (domainWatchers < 1 || otherWatchers < 0 || probeHelpers < 0 || gossipRecords < 0) {
+        if (domainWatchers < 1 || otherWatchers < 0 || indirectProbes < 0 || gossipRecords < 0) {
             throw new IllegalArgumentException(
                     "watchers " + domainWatchers + " must be above 0, and no count negative");
         }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/SharedSlots.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/SharedSlots.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 
 /**
  * Changes under way that share one limit over all hosts, as one object of the platform.
@@ -43,10 +43,10 @@
             BackendId backend,
             Incarnation taker,
             int limit,
-            Function<Incarnation, Standing> standing) {
+            Function<Incarnation, IncarnationStatus> standing) {
         Map<BackendId, Incarnation> kept =
                 holders.entrySet().stream()
-                        .filter(e -> standing.apply(e.getValue()) != Standing.ENDED)
+                        .filter(e -> standing.apply(e.getValue()) != IncarnationStatus.ENDED)
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
         kept.put(backend, taker);
         return kept.size() <= limit ? Optional.of(new SharedSlots(kept)) : Optional.empty();
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/AttemptReconciler.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/AttemptReconciler.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 
 /**
  * Decides which attempts on one engine are to be cancelled because nobody stands for them.
@@ -59,12 +59,12 @@
             List<EngineAttempt> listed,
             boolean owner,
             Set<AttemptId> ownAttempts,
-            Function<Incarnation, Standing> standing,
+            Function<Incarnation, IncarnationStatus> standing,
             long nowMillis) {
         List<RecoveryEffect> effects = new ArrayList<>();
         Map<AttemptId, Long> doubted = new HashMap<>();
         listed.stream()
-                .filter(EngineAttempt::holdsEngine)
+                .filter(EngineAttempt::holdsResources)
                 .map(EngineAttempt::attempt)
                 .filter(attempt -> owner || isOwn(attempt))
                 .forEach(
@@ -91,9 +91,9 @@
      * @param standing what is known of an incarnation
      */
     public List<RecoveryEffect> releaseGrants(
-            Collection<AttemptId> registered, Function<Incarnation, Standing> standing) {
+            Collection<AttemptId> registered, Function<Incarnation, IncarnationStatus> standing) {
         return registered.stream()
-                .filter(attempt -> standing(attempt, standing) == Standing.ENDED)
+                .filter(attempt -> standing(attempt, standing) == IncarnationStatus.ENDED)
                 .sorted()
                 .map(RecoveryEffect.ReleaseGrant::new)
                 .collect(Collectors.toList());
@@ -103,16 +103,16 @@
     private Optional<Long> grace(
             AttemptId attempt,
             Set<AttemptId> ownAttempts,
-            Function<Incarnation, Standing> standing) {
+            Function<Incarnation, IncarnationStatus> standing) {
         if (isOwn(attempt)) {
             return ownAttempts.contains(attempt)
                     ? Optional.empty()
-                    : Optional.of(mSettings.orphanMillis());
+                    : Optional.of(mSettings.orphanGraceMillis());
         }
         return switch (standing(attempt, standing)) {
             case RUNNING -> Optional.empty();
             case ENDED -> Optional.of(0L);
-            case UNKNOWN -> Optional.of(mSettings.unknownMillis());
+            case UNKNOWN -> Optional.of(mSettings.unknownHostGraceMillis());
         };
     }
 
@@ -120,7 +120,8 @@
         return attempt.holder().filter(mSelf::equals).isPresent();
     }
 
-    private static Standing standing(AttemptId attempt, Function<Incarnation, Standing> standing) {
-        return attempt.holder().map(standing).orElse(Standing.UNKNOWN);
+    private static IncarnationStatus standing(
+            AttemptId attempt, Function<Incarnation, IncarnationStatus> standing) {
+        return attempt.holder().map(standing).orElse(IncarnationStatus.UNKNOWN);
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns whether it still costs the engine anything. */
-    public boolean holdsEngine() {
+    public boolean holdsResources() {
         return !ended || pieces > 0;
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
@@ -11,8 +11,8 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.core.invariant.BrokenInvariantException;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAnswer.KeptAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.testng.annotations.Test;
@@ -22,7 +22,7 @@
     private static final ClaimKey KEY = new ClaimKey(new ServiceName("spot-book"), "lot 7");
     private static final ClaimRecord MINE = claim("host-a", "cafe");
     private static final ClaimRecord OTHER = claim("host-b", "cafe");
-    private static final KeptAnswer ANSWER = new KeptAnswer(200, "text/plain", "booked");
+    private static final StoredResponse ANSWER = new StoredResponse(200, "text/plain", "booked");
     private static final long DEADLINE = 1_000;
 
     @Test
@@ -32,11 +32,11 @@
         BookingMachine call = started();
 
         assertEquals(
-                on(call, new BookingEvent.ClaimAnswerLost()),
+                on(call, new BookingEvent.ClaimResponseLost()),
                 List.of(new BookingEffect.ReadClaim(KEY)));
         assertTrue(
                 on(call, new BookingEvent.ClaimRead(Optional.of(OTHER))).get(0)
-                        instanceof BookingEffect.AskClaimer);
+                        instanceof BookingEffect.QueryClaimHolder);
     }
 
     @Test
@@ -46,10 +46,12 @@
         // the first host may be running it this moment.
         BookingMachine call = started();
         on(call, new BookingEvent.ClaimConflict(OTHER));
-        on(call, answered(ClaimAnswer.State.RUNNING));
+        on(call, answered(ClaimResponse.State.RUNNING));
         on(call, new BookingEvent.Wake());
 
-        assertEquals(on(call, new BookingEvent.PlatformAway()), refused(RefusalReason.CLAIM_BUSY));
+        assertEquals(
+                on(call, new BookingEvent.PlatformUnavailable()),
+                refused(RefusalReason.CLAIM_BUSY));
     }
 
     @Test
@@ -58,15 +60,15 @@
         // that ran through a host which a peer still remembers, not run would be false, and the
         // caller would book again under a new key.
         BookingMachine first = started();
-        on(first, new BookingEvent.PlatformAway());
+        on(first, new BookingEvent.PlatformUnavailable());
         BookingMachine resend = started();
-        on(resend, new BookingEvent.PlatformAway());
+        on(resend, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                on(first, peers(true, ClaimAnswer.State.NO_RECORD, ClaimAnswer.State.NOT_RUN)),
+                on(first, peers(true, ClaimResponse.State.NO_RECORD, ClaimResponse.State.NOT_RUN)),
                 refused(RefusalReason.PLATFORM_AWAY));
         assertEquals(
-                on(resend, peers(true, ClaimAnswer.State.RAN)),
+                on(resend, peers(true, ClaimResponse.State.RAN)),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
@@ -76,20 +78,20 @@
         // caller gives up, sends again through another host and books. Woken up, this host must
         // not say that the booking did not run.
         BookingMachine call = started();
-        on(call, new BookingEvent.PlatformAway());
+        on(call, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                call.on(peers(true, ClaimAnswer.State.NO_RECORD), 501),
+                call.on(peers(true, ClaimResponse.State.NO_RECORD), 501),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
     @Test
     public void platformAwayIsUnknownIfAHostWasLost() {
         BookingMachine call = started();
-        on(call, new BookingEvent.PlatformAway());
+        on(call, new BookingEvent.PlatformUnavailable());
 
         assertEquals(
-                on(call, peers(false, ClaimAnswer.State.NO_RECORD)),
+                on(call, peers(false, ClaimResponse.State.NO_RECORD)),
                 refused(RefusalReason.CLAIM_UNREADABLE));
     }
 
@@ -168,7 +170,9 @@
         assertEquals(
                 on(call, new BookingEvent.ResponseComplete(ANSWER)),
                 List.of(new BookingEffect.RecordOutcome(MINE, ClaimState.RAN)));
-        assertEquals(call.answer(), new ClaimAnswer(ClaimAnswer.State.RAN, Optional.of(ANSWER)));
+        assertEquals(
+                call.claimResponse(),
+                new ClaimResponse(ClaimResponse.State.RAN, Optional.of(ANSWER)));
     }
 
     @Test
@@ -177,8 +181,8 @@
         // its peers, which never had the key but saw the loss: they must not vouch for the key.
         BookingTable table = new BookingTable(1, 1_000);
 
-        assertEquals(state(table, true, 0), ClaimAnswer.State.UNKNOWN);
-        assertEquals(state(table, false, 0), ClaimAnswer.State.NO_RECORD);
+        assertEquals(state(table, true, 0), ClaimResponse.State.UNKNOWN);
+        assertEquals(state(table, false, 0), ClaimResponse.State.NO_RECORD);
     }
 
     @Test
@@ -191,12 +195,12 @@
         table.add(new BookingMachine(claimOf("lot 8"), BookingSettings.DEFAULTS, DEADLINE), 10);
 
         assertEquals(table.size(), 1);
-        assertEquals(state(table, false, 999), ClaimAnswer.State.UNKNOWN);
-        assertEquals(state(table, false, 1_000), ClaimAnswer.State.NO_RECORD);
+        assertEquals(state(table, false, 999), ClaimResponse.State.UNKNOWN);
+        assertEquals(state(table, false, 1_000), ClaimResponse.State.NO_RECORD);
     }
 
-    private static ClaimAnswer.State state(BookingTable table, boolean lost, long now) {
-        return table.answer(KEY, Optional.empty(), lost, now).state();
+    private static ClaimResponse.State state(BookingTable table, boolean lost, long now) {
+        return table.claimResponse(KEY, Optional.empty(), lost, now).state();
     }
 
     private static BookingMachine started() {
@@ -215,12 +219,12 @@
         return call.on(event, 0);
     }
 
-    private static BookingEvent answered(ClaimAnswer.State state) {
-        return new BookingEvent.ClaimerAnswered(new ClaimAnswer(state, Optional.empty()));
+    private static BookingEvent answered(ClaimResponse.State state) {
+        return new BookingEvent.ClaimHolderResponded(new ClaimResponse(state, Optional.empty()));
     }
 
-    private static BookingEvent peers(boolean complete, ClaimAnswer.State... states) {
-        return new BookingEvent.PeersAnswered(List.of(states), complete);
+    private static BookingEvent peers(boolean complete, ClaimResponse.State... states) {
+        return new BookingEvent.PeersResponded(List.of(states), complete);
     }
 
     private static List<BookingEffect> refused(RefusalReason reason) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/ClaimShardTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/ClaimShardTest.java
@@ -51,7 +51,7 @@
 
         assertEquals(
                 mShard.onConflict(1, document(RIVAL)),
-                List.of(new Settled(FIRST, new ClaimVerdict.Taken(RIVAL))));
+                List.of(new Settled(FIRST, new ClaimResult.HeldByOther(RIVAL))));
     }
 
     @Test
@@ -60,7 +60,7 @@
         // so the call may run; claiming anew would find the key taken by itself.
         mShard.onRead(0, ClaimDocument.EMPTY);
 
-        assertEquals(mShard.onAnswerLost(), List.of(new ReadShard(0)));
+        assertEquals(mShard.onResponseLost(), List.of(new ReadShard(0)));
         assertEquals(mShard.onRead(1, document(FIRST)), List.of(held(FIRST)));
     }
 
@@ -70,25 +70,25 @@
         // When the platform is back the write has not arrived, but still may. Leaving it at that
         // would let it arrive later and hold the key for a day.
         mShard.onRead(0, ClaimDocument.EMPTY);
-        mShard.onAnswerLost();
+        mShard.onResponseLost();
 
         assertEquals(
-                mShard.onPlatformAway(0),
-                List.of(new Settled(FIRST, new ClaimVerdict.Unavailable())));
+                mShard.onPlatformUnavailable(0),
+                List.of(new Settled(FIRST, new ClaimResult.Unavailable())));
         mShard.tick(500);
         assertEquals(
                 mShard.onRead(0, ClaimDocument.EMPTY),
-                List.of(new WriteShard(0, 0, document(FIRST.in(ClaimState.NOT_RUN)))));
+                List.of(new WriteShard(0, 0, document(FIRST.withState(ClaimState.NOT_RUN)))));
         assertEquals(
                 mShard.onConflict(1, document(FIRST)),
-                List.of(new WriteShard(0, 1, document(FIRST.in(ClaimState.NOT_RUN)))));
+                List.of(new WriteShard(0, 1, document(FIRST.withState(ClaimState.NOT_RUN)))));
     }
 
     @Test
     public void outcomeWaitsForTheNextWriteButNotForLong() {
         mShard.onRead(0, ClaimDocument.EMPTY);
         mShard.onWritten(1);
-        ClaimRecord ran = FIRST.in(ClaimState.RAN);
+        ClaimRecord ran = FIRST.withState(ClaimState.RAN);
 
         assertEquals(mShard.outcome(FIRST, ClaimState.RAN), List.of());
         assertEquals(mShard.tick(0), List.of());
@@ -107,17 +107,17 @@
                                 3,
                                 document(
                                         ran,
-                                        SECOND.in(ClaimState.RAN),
+                                        SECOND.withState(ClaimState.RAN),
                                         claim("host-a", 3, "key 3", 0)))));
     }
 
     @Test
     public void refusesAtOnceWhileThePlatformIsAway() {
-        mShard.onPlatformAway(0);
+        mShard.onPlatformUnavailable(0);
 
         assertEquals(
                 mShard.claim(SECOND, 0),
-                List.of(new Settled(SECOND, new ClaimVerdict.Unavailable())));
+                List.of(new Settled(SECOND, new ClaimResult.Unavailable())));
         assertEquals(mShard.pending(), 0);
     }
 
@@ -125,7 +125,7 @@
     public void onlyNotRunFreesTheKey() {
         for (ClaimState state : ClaimState.values()) {
             readEmptyShard();
-            List<ClaimShardEffect> effects = mShard.onRead(1, document(RIVAL.in(state)));
+            List<ClaimShardEffect> effects = mShard.onRead(1, document(RIVAL.withState(state)));
 
             assertEquals(effects.get(0) instanceof WriteShard, state == ClaimState.NOT_RUN);
         }
@@ -138,7 +138,7 @@
 
         assertEquals(
                 mShard.onRead(1, document(big, next)),
-                List.of(new Settled(FIRST, new ClaimVerdict.Unavailable())));
+                List.of(new Settled(FIRST, new ClaimResult.Unavailable())));
 
         long later = TimeUnit.HOURS.toMillis(26);
         ClaimRecord late = claim("host-a", 5, "key 5", later);
@@ -152,7 +152,7 @@
     @Test
     public void linesKeepEveryField() {
         ClaimLines codec = new ClaimLines();
-        ClaimDocument document = document(FIRST.in(ClaimState.NOT_RUN), SECOND);
+        ClaimDocument document = document(FIRST.withState(ClaimState.NOT_RUN), SECOND);
 
         assertEquals(codec.decode(codec.encode(document)).get(), document);
         assertTrue(codec.decode("claims 1\nspot-book\tkey").isLeft());
@@ -160,7 +160,7 @@
     }
 
     private static Settled held(ClaimRecord claim) {
-        return new Settled(claim, new ClaimVerdict.Held());
+        return new Settled(claim, new ClaimResult.Acquired());
     }
 
     private static ClaimDocument document(ClaimRecord... claims) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplicaTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/configuration/ConfigurationReplicaTest.java
@@ -38,9 +38,9 @@
         ConfigurationReplica replica = new ConfigurationReplica();
         replica.offer(object(SERVICE, 9, "new"));
 
-        assertEquals(replica.missingFrom(8, List.of()), List.of());
+        assertEquals(replica.tombstonesForMissing(8, List.of()), List.of());
         assertEquals(
-                replica.missingFrom(10, List.of()),
+                replica.tombstonesForMissing(10, List.of()),
                 List.of(new ConfigurationObject(SERVICE, 10, Optional.empty())));
     }
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
@@ -14,8 +14,8 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.core.message.LedgerSummary;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.ProbeByNewConnection;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect.SendTo;
 import org.testng.annotations.BeforeMethod;
@@ -68,26 +68,26 @@
         // fails, but the helper gets through. The peer still serves its callers, so its attempts
         // must not be cancelled; this host just gives it no work.
         fallSilent(900);
-        mMembership.onProbeAnswer(new ProbeAnswer(PEER.incarnation(), true), mNow);
+        mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), true), mNow);
         mMembership.onConnectionProbe(PEER.incarnation(), false, mNow);
         advance(2_000);
 
         assertEquals(state(PEER), HostState.SUSPECT);
-        assertEquals(mMembership.standing(PEER.incarnation()), Standing.RUNNING);
+        assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.RUNNING);
         assertFalse(mMembership.alive().stream().anyMatch(h -> id(h).equals(id(PEER))));
     }
 
     @Test
     public void confirmedDeathIsTold() {
         fallSilent(900);
-        mMembership.onProbeAnswer(new ProbeAnswer(PEER.incarnation(), false), mNow);
+        mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), false), mNow);
 
         List<MembershipEffect> effects =
                 mMembership.onConnectionProbe(PEER.incarnation(), false, mNow);
 
-        assertEquals(mMembership.standing(PEER.incarnation()), Standing.ENDED);
-        assertTrue(mMembership.lostLately(1_000, mNow));
-        assertEquals(told(effects, HELPER), List.of(PEER.in(HostState.DEAD)));
+        assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.ENDED);
+        assertTrue(mMembership.hostLostWithin(1_000, mNow));
+        assertEquals(told(effects, HELPER), List.of(PEER.withState(HostState.DEAD)));
     }
 
     @Test
@@ -111,7 +111,7 @@
         // from the peer lately either, but reaches it. Believing the word would spread one host's
         // error to all, and cancel the peer's streams everywhere.
         advance(400);
-        hear(HELPER, PEER.in(HostState.DEAD));
+        hear(HELPER, PEER.withState(HostState.DEAD));
 
         assertEquals(state(PEER), HostState.SUSPECT);
         mMembership.onConnectionProbe(PEER.incarnation(), true, mNow);
@@ -126,15 +126,15 @@
         hear(FOREIGN);
         advance(400);
 
-        List<MembershipEffect> effects = hear(FOREIGN, PEER.in(HostState.DEAD));
+        List<MembershipEffect> effects = hear(FOREIGN, PEER.withState(HostState.DEAD));
 
-        assertEquals(told(effects, HELPER), List.of(PEER.in(HostState.DEAD)));
-        assertTrue(hear(FOREIGN, PEER.in(HostState.DEAD)).isEmpty());
+        assertEquals(told(effects, HELPER), List.of(PEER.withState(HostState.DEAD)));
+        assertTrue(hear(FOREIGN, PEER.withState(HostState.DEAD)).isEmpty());
     }
 
     @Test
     public void refutesItsOwnDeath() {
-        List<MembershipEffect> effects = hear(PEER, SELF.in(HostState.DEAD));
+        List<MembershipEffect> effects = hear(PEER, SELF.withState(HostState.DEAD));
 
         assertEquals(told(effects, PEER), List.of());
         assertEquals(effects.size(), 1);
@@ -149,8 +149,8 @@
         hear(later);
         hear(PEER);
 
-        assertEquals(mMembership.standing(PEER.incarnation()), Standing.ENDED);
-        assertEquals(mMembership.standing(later.incarnation()), Standing.RUNNING);
+        assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.ENDED);
+        assertEquals(mMembership.incarnationStatus(later.incarnation()), IncarnationStatus.RUNNING);
     }
 
     @Test
@@ -158,7 +158,7 @@
         // A heartbeat sent before the death arrives after it was confirmed, out of an old buffer.
         Heartbeat late = heartbeat(PEER, 1);
         fallSilent(900);
-        mMembership.onProbeAnswer(new ProbeAnswer(PEER.incarnation(), false), mNow);
+        mMembership.onProbeResponse(new ProbeResponse(PEER.incarnation(), false), mNow);
         mMembership.onConnectionProbe(PEER.incarnation(), false, mNow);
 
         mMembership.onHeartbeat(late, mNow);
@@ -168,23 +168,25 @@
 
     @Test
     public void leavingHostOwnsNothingAndStaysOnRecord() {
-        hear(PEER.in(HostState.LEAVING));
+        hear(PEER.withState(HostState.LEAVING));
 
         assertEquals(state(PEER), HostState.LEAVING);
-        assertEquals(mMembership.standing(PEER.incarnation()), Standing.RUNNING);
+        assertEquals(mMembership.incarnationStatus(PEER.incarnation()), IncarnationStatus.RUNNING);
         assertEquals(mMembership.aliveIn(PEER.domain()), List.of(SELF, HELPER));
     }
 
     @Test
     public void triesForOthers() {
-        ProbeAsk ask = new ProbeAsk(PEER);
+        ProbeRequest ask = new ProbeRequest(PEER);
 
         assertEquals(
-                mMembership.onProbeAsk(HELPER, ask, mNow), List.of(new ProbeByNewConnection(PEER)));
+                mMembership.onProbeRequest(HELPER, ask, mNow),
+                List.of(new ProbeByNewConnection(PEER)));
         assertTrue(
                 mMembership
                         .onConnectionProbe(PEER.incarnation(), false, mNow)
-                        .contains(new SendTo(HELPER, new ProbeAnswer(PEER.incarnation(), false))));
+                        .contains(
+                                new SendTo(HELPER, new ProbeResponse(PEER.incarnation(), false))));
     }
 
     private void fallSilent(long millis) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.testng.annotations.Test;
 
 public class OrderControllerTest {
@@ -98,9 +98,9 @@
         BackendId two = new BackendId("engine-2");
         SharedSlots held = new SharedSlots(Map.of(one, OTHER));
 
-        assertTrue(held.acquire(two, SELF, 1, life -> Standing.RUNNING).isEmpty());
+        assertTrue(held.acquire(two, SELF, 1, life -> IncarnationStatus.RUNNING).isEmpty());
         assertEquals(
-                held.acquire(two, SELF, 1, life -> Standing.ENDED),
+                held.acquire(two, SELF, 1, life -> IncarnationStatus.ENDED),
                 Optional.of(new SharedSlots(Map.of(two, SELF))));
         assertEquals(held.release(one, SELF), held);
         assertEquals(SharedSlots.parse(held.text()).get(), held);
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/recovery/AttemptReconcilerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/recovery/AttemptReconcilerTest.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.testng.annotations.Test;
 
 public class AttemptReconcilerTest {
@@ -23,19 +23,19 @@
     public void cancelsForAnEndedLifeAtOnceAndForASuspectNever() {
         // An entry host goes silent, and its callers may still be streaming through it. While it is
         // only suspected its attempts go on; once its life has ended the owner frees the engine.
-        assertEquals(reconcile(OTHER, true, Standing.RUNNING, 60_000), List.of());
+        assertEquals(reconcile(OTHER, true, IncarnationStatus.RUNNING, 60_000), List.of());
         assertEquals(
-                reconcile(OTHER, true, Standing.ENDED, 60_001),
+                reconcile(OTHER, true, IncarnationStatus.ENDED, 60_001),
                 List.of(new RecoveryEffect.Cancel(OTHER)));
-        assertEquals(reconcile(OTHER, false, Standing.ENDED, 60_002), List.of());
+        assertEquals(reconcile(OTHER, false, IncarnationStatus.ENDED, 60_002), List.of());
     }
 
     @Test
     public void givesAHostNeverHeardOfTime() {
-        assertEquals(reconcile(OTHER, true, Standing.UNKNOWN, 0), List.of());
-        assertEquals(reconcile(OTHER, true, Standing.UNKNOWN, 9_999), List.of());
+        assertEquals(reconcile(OTHER, true, IncarnationStatus.UNKNOWN, 0), List.of());
+        assertEquals(reconcile(OTHER, true, IncarnationStatus.UNKNOWN, 9_999), List.of());
         assertEquals(
-                reconcile(OTHER, true, Standing.UNKNOWN, 10_000),
+                reconcile(OTHER, true, IncarnationStatus.UNKNOWN, 10_000),
                 List.of(new RecoveryEffect.Cancel(OTHER)));
     }
 
@@ -44,13 +44,14 @@
         // The engine's list was read just before this host began to stand for the attempt.
         // Cancelling at once would break the caller's stream; the doubt starts afresh each time
         // the attempt is seen to be stood for.
-        assertEquals(reconcile(OWN, false, Standing.RUNNING, 0), List.of());
+        assertEquals(reconcile(OWN, false, IncarnationStatus.RUNNING, 0), List.of());
         assertEquals(
-                mReconciler.reconcile(list(OWN), false, Set.of(OWN), life -> Standing.RUNNING, 400),
+                mReconciler.reconcile(
+                        list(OWN), false, Set.of(OWN), life -> IncarnationStatus.RUNNING, 400),
                 List.of());
-        assertEquals(reconcile(OWN, false, Standing.RUNNING, 600), List.of());
+        assertEquals(reconcile(OWN, false, IncarnationStatus.RUNNING, 600), List.of());
         assertEquals(
-                reconcile(OWN, false, Standing.RUNNING, 1_100),
+                reconcile(OWN, false, IncarnationStatus.RUNNING, 1_100),
                 List.of(new RecoveryEffect.Cancel(OWN)));
     }
 
@@ -59,12 +60,15 @@
         assertEquals(
                 mReconciler.releaseGrants(
                         Set.of(OWN, OTHER),
-                        life -> life.equals(SELF) ? Standing.RUNNING : Standing.ENDED),
+                        life ->
+                                life.equals(SELF)
+                                        ? IncarnationStatus.RUNNING
+                                        : IncarnationStatus.ENDED),
                 List.of(new RecoveryEffect.ReleaseGrant(OTHER)));
     }
 
     private List<RecoveryEffect> reconcile(
-            AttemptId attempt, boolean owner, Standing standing, long nowMillis) {
+            AttemptId attempt, boolean owner, IncarnationStatus standing, long nowMillis) {
         return mReconciler.reconcile(list(attempt), owner, Set.of(), life -> standing, nowMillis);
     }
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.fleet.claim.BookingEffect;
 import org.cyclamenpaddle.fleet.claim.BookingEvent;
 import org.cyclamenpaddle.fleet.claim.BookingMachine;
@@ -95,8 +95,8 @@
         return mUp && mPausedUntil <= mRun.mQueue.now();
     }
 
-    private ClaimAnswer answer(ClaimKey key, Optional<AttemptId> asking) {
-        return mTable.answer(key, asking, lostLately(), mRun.mQueue.now());
+    private ClaimResponse answer(ClaimKey key, Optional<AttemptId> asking) {
+        return mTable.claimResponse(key, asking, lostLately(), mRun.mQueue.now());
     }
 
     private void feed(BookingMachine call, BookingEvent event) {
@@ -120,9 +120,9 @@
                 handle(() -> mRun.send(call.claim(), event -> feed(call, event)));
             } else if (effect instanceof BookingEffect.Abort) {
                 feedAfter(1, call, new BookingEvent.ConnectFailedBeforeFirstByte());
-            } else if (effect instanceof BookingEffect.AskClaimer ask) {
+            } else if (effect instanceof BookingEffect.QueryClaimHolder ask) {
                 askClaimer(call, ask.holder());
-            } else if (effect instanceof BookingEffect.AskPeers) {
+            } else if (effect instanceof BookingEffect.QueryPeers) {
                 askPeers(call);
             } else if (effect instanceof BookingEffect.WakeAt wake) {
                 feedAfter(wake.millis() - mRun.mQueue.now(), call, new BookingEvent.Wake());
@@ -150,14 +150,14 @@
         BookingEvent event =
                 host.<BookingEvent>map(
                                 h ->
-                                        new BookingEvent.ClaimerAnswered(
+                                        new BookingEvent.ClaimHolderResponded(
                                                 h.answer(call.claim().key(), asking)))
-                        .orElseGet(BookingEvent.ClaimerUnreachable::new);
+                        .orElseGet(BookingEvent.ClaimHolderUnreachable::new);
         feedAfter(host.isPresent() ? 3 : CLAIMER_GRACE_MILLIS, call, event);
     }
 
     private void askPeers(BookingMachine call) {
-        List<ClaimAnswer.State> states = new ArrayList<>();
+        List<ClaimResponse.State> states = new ArrayList<>();
         Optional<AttemptId> asking = Optional.of(call.claim().attempt());
         boolean complete = !lostLately();
         for (BookingHost host : mRun.mHosts) {
@@ -167,7 +167,7 @@
                 complete = false;
             }
         }
-        feedAfter(3, call, new BookingEvent.PeersAnswered(states, complete));
+        feedAfter(3, call, new BookingEvent.PeersResponded(states, complete));
     }
 
     private void tickShards() {
@@ -198,7 +198,7 @@
                         answer -> handle(() -> apply(number, onWrite(shard, answer))));
             } else if (effect instanceof ClaimShardEffect.Settled settled) {
                 mTable.call(settled.claim().attempt())
-                        .ifPresent(call -> feed(call, settled.verdict().event()));
+                        .ifPresent(call -> feed(call, settled.result().event()));
             }
         }
     }
@@ -206,15 +206,15 @@
     private List<ClaimShardEffect> onRead(ClaimShard shard, FakePlatform.Answer<String> answer) {
         return answer.result() == FakePlatform.Result.DONE
                 ? shard.onRead(answer.stored().version(), document(answer))
-                : shard.onPlatformAway(mRun.mQueue.now());
+                : shard.onPlatformUnavailable(mRun.mQueue.now());
     }
 
     private List<ClaimShardEffect> onWrite(ClaimShard shard, FakePlatform.Answer<String> answer) {
         return switch (answer.result()) {
             case DONE -> shard.onWritten(answer.stored().version());
             case CONFLICT -> shard.onConflict(answer.stored().version(), document(answer));
-            case LOST -> shard.onAnswerLost();
-            case AWAY -> shard.onPlatformAway(mRun.mQueue.now());
+            case LOST -> shard.onResponseLost();
+            case AWAY -> shard.onPlatformUnavailable(mRun.mQueue.now());
         };
     }
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
@@ -15,7 +15,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.ClaimAnswer.KeptAnswer;
+import org.cyclamenpaddle.core.message.ClaimResponse.StoredResponse;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 import org.cyclamenpaddle.fleet.claim.BookingEvent;
@@ -130,8 +130,8 @@
         require(runs == 1, () -> claim.key() + " ran " + runs + " times");
     }
 
-    private static KeptAnswer answer(ClaimKey key) {
-        return new KeptAnswer(200, "text/plain", "booked " + key.key());
+    private static StoredResponse answer(ClaimKey key) {
+        return new StoredResponse(200, "text/plain", "booked " + key.key());
     }
 
     private void send(ClaimKey key, int sends) {
@@ -162,9 +162,9 @@
 
     private void replied(ClaimKey key, int sends, String fingerprint, BookingReply reply) {
         mReplies.merge(reply.outcome(), 1, Integer::sum);
-        if (reply instanceof BookingReply.Answered answered) {
+        if (reply instanceof BookingReply.Completed answered) {
             require(
-                    answered.answer().equals(answer(key))
+                    answered.response().equals(answer(key))
                             && mSent.get(key).equals(List.of(fingerprint)),
                     () -> key + " was answered " + answered);
             return;
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.core.config.ConfigurationObject;
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.config.ObjectKind;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationEffect;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationReplica;
@@ -184,14 +184,14 @@
                     watch(watch.afterRevision(), mWatch, mQueue.now() + 2_000);
                 } else if (effect instanceof ConfigurationEffect.StopWatch) {
                     mWatch++;
-                } else if (effect instanceof ConfigurationEffect.AskPeer ask) {
+                } else if (effect instanceof ConfigurationEffect.QueryPeer ask) {
                     ask(ask);
                 }
             }
         }
 
         private void requireNoneWentBack() {
-            Map<String, Long> known = mReplica.known();
+            Map<String, Long> known = mReplica.knownVersions();
             mSeen.forEach(
                     (key, version) ->
                             require(
@@ -252,7 +252,7 @@
             return mRandom.nextDouble() >= mLoss;
         }
 
-        private void ask(ConfigurationEffect.AskPeer ask) {
+        private void ask(ConfigurationEffect.QueryPeer ask) {
             Replica peer =
                     mReplicas.stream()
                             .filter(r -> r.mSelf.equals(ask.peer()))
@@ -261,9 +261,10 @@
             if (!reaches(peer) || !arrives()) {
                 return;
             }
-            ConfigurationAnswer answer =
-                    ((ConfigurationEffect.Answer) peer.mSync.onPeerAsk(ask.ask()).get(0)).answer();
-            mQueue.after(1 + mRandom.nextInt(800), () -> apply(mSync.onPeerAnswer(answer)));
+            ConfigurationResponse answer =
+                    ((ConfigurationEffect.Respond) peer.mSync.onPeerRequest(ask.request()).get(0))
+                            .response();
+            mQueue.after(1 + mRandom.nextInt(800), () -> apply(mSync.onPeerResponse(answer)));
         }
     }
 }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipFleet.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/MembershipFleet.java
@@ -18,8 +18,8 @@
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.message.PeerMessage;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.fleet.membership.HeartbeatSource;
 import org.cyclamenpaddle.fleet.membership.Membership;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect;
@@ -157,10 +157,10 @@
                 mDigest = Math.max(mDigest, heartbeat.configurationDigest());
                 return mMembership.onHeartbeat(heartbeat, mQueue.now());
             }
-            if (message instanceof ProbeAsk ask) {
-                return mMembership.onProbeAsk(from, ask, mQueue.now());
+            if (message instanceof ProbeRequest ask) {
+                return mMembership.onProbeRequest(from, ask, mQueue.now());
             }
-            return mMembership.onProbeAnswer((ProbeAnswer) message, mQueue.now());
+            return mMembership.onProbeResponse((ProbeResponse) message, mQueue.now());
         }
 
         private void probe(HostRecord target) {
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/ConfigurationCut.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/ConfigurationCut.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.cyclamenpaddle.core.config.ConfigurationObject;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.PeerMessage;
 
 /**
@@ -23,7 +23,7 @@
 
     /** Returns {@code message}, or its first objects if they are more than fit. */
     static PeerMessage fitting(PeerMessage message) {
-        if (!(message instanceof ConfigurationAnswer answer)) {
+        if (!(message instanceof ConfigurationResponse answer)) {
             return message;
         }
         List<ConfigurationObject> fitting = new ArrayList<>();
@@ -35,7 +35,7 @@
             }
             fitting.add(object);
         }
-        return fitting.isEmpty() ? answer : new ConfigurationAnswer(fitting);
+        return fitting.isEmpty() ? answer : new ConfigurationResponse(fitting);
     }
 
     private static long size(ConfigurationObject object) {
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/MessageType.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/MessageType.java
@@ -6,85 +6,90 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.GrantDecision;
-import org.cyclamenpaddle.core.message.GrantEnd;
 import org.cyclamenpaddle.core.message.GrantRegister;
+import org.cyclamenpaddle.core.message.GrantRelease;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.Hello;
 import org.cyclamenpaddle.core.message.PeerMessage;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.message.StrikeNotice;
 
 /** The messages of the peer protocol, each with its type number and its fields. */
 enum MessageType {
     HELLO(1, Hello.class, (out, m) -> out.host(m.sender()), in -> new Hello(in.host())),
     HEARTBEAT(2, Heartbeat.class, MessageType::writeHeartbeat, MessageType::readHeartbeat),
-    PROBE_ASK(3, ProbeAsk.class, (out, m) -> out.host(m.target()), in -> new ProbeAsk(in.host())),
-    PROBE_ANSWER(
+    PROBE_REQUEST(
+            3,
+            ProbeRequest.class,
+            (out, m) -> out.host(m.target()),
+            in -> new ProbeRequest(in.host())),
+    PROBE_RESPONSE(
             4,
-            ProbeAnswer.class,
+            ProbeResponse.class,
             (out, m) -> {
                 out.incarnation(m.target());
                 out.flag(m.reachable());
             },
-            in -> new ProbeAnswer(in.incarnation(), in.flag())),
-    GRANT_ASK(5, GrantAsk.class, NestedFields::writeGrantAsk, NestedFields::readGrantAsk),
-    GRANT_ANSWER(6, GrantAnswer.class, MessageType::writeGrantAnswer, MessageType::readGrantAnswer),
-    GRANT_END(
+            in -> new ProbeResponse(in.incarnation(), in.flag())),
+    GRANT_REQUEST(5, GrantRequest.class, NestedFields::writeGrantAsk, NestedFields::readGrantAsk),
+    GRANT_RESPONSE(
+            6, GrantResponse.class, MessageType::writeGrantAnswer, MessageType::readGrantAnswer),
+    GRANT_RELEASE(
             7,
-            GrantEnd.class,
+            GrantRelease.class,
             (out, m) -> {
                 out.text(m.attempt().value());
                 out.text(m.backend().value());
             },
-            in -> new GrantEnd(new AttemptId(in.text()), new BackendId(in.text()))),
+            in -> new GrantRelease(new AttemptId(in.text()), new BackendId(in.text()))),
     GRANT_REGISTER(
             8,
             GrantRegister.class,
             (out, m) -> out.list(m.held(), ask -> NestedFields.writeGrantAsk(out, ask)),
             in -> new GrantRegister(in.list(() -> NestedFields.readGrantAsk(in)))),
-    CONFIGURATION_ASK(
+    CONFIGURATION_REQUEST(
             9,
-            ConfigurationAsk.class,
-            (out, m) -> out.versions(m.known()),
-            in -> new ConfigurationAsk(in.versions())),
-    CONFIGURATION_ANSWER(
+            ConfigurationRequest.class,
+            (out, m) -> out.versions(m.knownVersions()),
+            in -> new ConfigurationRequest(in.versions())),
+    CONFIGURATION_RESPONSE(
             10,
-            ConfigurationAnswer.class,
+            ConfigurationResponse.class,
             (out, m) -> out.list(m.objects(), object -> NestedFields.writeObject(out, object)),
-            in -> new ConfigurationAnswer(in.list(() -> NestedFields.readObject(in)))),
-    CLAIM_ASK(
+            in -> new ConfigurationResponse(in.list(() -> NestedFields.readObject(in)))),
+    CLAIM_REQUEST(
             11,
-            ClaimAsk.class,
+            ClaimRequest.class,
             (out, m) -> {
                 out.text(m.service().value());
                 out.text(m.key());
             },
-            in -> new ClaimAsk(new ServiceName(in.text()), in.text())),
-    CLAIM_ANSWER(
+            in -> new ClaimRequest(new ServiceName(in.text()), in.text())),
+    CLAIM_RESPONSE(
             12,
-            ClaimAnswer.class,
+            ClaimResponse.class,
             (out, m) -> {
                 out.constant(m.state());
-                out.optional(m.answer(), answer -> NestedFields.writeKeptAnswer(out, answer));
+                out.optional(m.response(), answer -> NestedFields.writeKeptAnswer(out, answer));
             },
             in ->
-                    new ClaimAnswer(
-                            in.constant(ClaimAnswer.State.values()),
+                    new ClaimResponse(
+                            in.constant(ClaimResponse.State.values()),
                             in.optional(() -> NestedFields.readKeptAnswer(in)))),
     STRIKE_NOTICE(
             13,
             StrikeNotice.class,
             (out, m) -> {
                 out.number(m.fingerprint());
-                out.list(m.struck(), backend -> out.text(backend.value()));
+                out.list(m.crashedBackends(), backend -> out.text(backend.value()));
                 out.number(m.remainingMillis());
             },
             in ->
@@ -158,7 +163,7 @@
                 in.list(() -> NestedFields.readLedger(in)));
     }
 
-    private static void writeGrantAnswer(FieldWriter out, GrantAnswer m) throws IOException {
+    private static void writeGrantAnswer(FieldWriter out, GrantResponse m) throws IOException {
         out.text(m.attempt().value());
         out.text(m.backend().value());
         out.constant(m.decision());
@@ -166,8 +171,8 @@
         out.number(m.endInMillis());
     }
 
-    private static GrantAnswer readGrantAnswer(FieldReader in) throws IOException {
-        return new GrantAnswer(
+    private static GrantResponse readGrantAnswer(FieldReader in) throws IOException {
+        return new GrantResponse(
                 new AttemptId(in.text()),
                 new BackendId(in.text()),
                 in.constant(GrantDecision.values()),
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/NestedFields.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/NestedFields.java
@@ -7,8 +7,8 @@
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
 /** Fields of the records that stand inside messages. */
@@ -16,7 +16,7 @@
 
     private NestedFields() {}
 
-    static void writeGrantAsk(FieldWriter out, GrantAsk m) throws IOException {
+    static void writeGrantAsk(FieldWriter out, GrantRequest m) throws IOException {
         out.text(m.attempt().value());
         out.text(m.backend().value());
         out.constant(m.role());
@@ -28,8 +28,8 @@
         out.number(m.holdMillis());
     }
 
-    static GrantAsk readGrantAsk(FieldReader in) throws IOException {
-        return new GrantAsk(
+    static GrantRequest readGrantAsk(FieldReader in) throws IOException {
+        return new GrantRequest(
                 new AttemptId(in.text()),
                 new BackendId(in.text()),
                 in.constant(BackendRole.values()),
@@ -69,13 +69,14 @@
         return new ConfigurationObject(key.get(), in.number(), in.optional(in::document));
     }
 
-    static void writeKeptAnswer(FieldWriter out, ClaimAnswer.KeptAnswer m) throws IOException {
+    static void writeKeptAnswer(FieldWriter out, ClaimResponse.StoredResponse m)
+            throws IOException {
         out.number(m.status());
         out.text(m.contentType());
         out.text(m.body());
     }
 
-    static ClaimAnswer.KeptAnswer readKeptAnswer(FieldReader in) throws IOException {
-        return new ClaimAnswer.KeptAnswer(in.integer(), in.text(), in.document());
+    static ClaimResponse.StoredResponse readKeptAnswer(FieldReader in) throws IOException {
+        return new ClaimResponse.StoredResponse(in.integer(), in.text(), in.document());
     }
 }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
@@ -15,7 +15,7 @@
 import org.cyclamenpaddle.core.config.ConfigurationObject;
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.config.ObjectKind;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -62,8 +62,8 @@
     @Test
     public void fieldsOutOfBoundsAreRefusedWithoutTakingMemory() throws IOException {
         int heldAsks = MessageType.GRANT_REGISTER.code();
-        int claim = MessageType.CLAIM_ASK.code();
-        int state = MessageType.CLAIM_ANSWER.code();
+        int claim = MessageType.CLAIM_REQUEST.code();
+        int state = MessageType.CLAIM_RESPONSE.code();
         List<byte[]> wrong =
                 List.of(
                         packed(p -> p.packInt(heldAsks).packLong(0).packArrayHeader(1 << 30)),
@@ -89,23 +89,23 @@
     public void configurationThatDoesNotFitIsSentInParts() {
         // A host that starts while the platform is away would never serve: all objects together
         // don't fit into a frame. Each answer brings the first of those that the asker lacks.
-        ConfigurationAnswer whole = configuration(3_000, 1_000);
+        ConfigurationResponse whole = configuration(3_000, 1_000);
         List<ConfigurationObject> lacking = whole.objects();
         int asks = 0;
         while (!lacking.isEmpty()) {
-            Frame part = new Frame(1, new ConfigurationAnswer(lacking));
+            Frame part = new Frame(1, new ConfigurationResponse(lacking));
             PeerMessage read = mCodec.decode(encoded(part)).get().message();
-            int brought = ((ConfigurationAnswer) read).objects().size();
-            assertEquals(((ConfigurationAnswer) read).objects(), lacking.subList(0, brought));
+            int brought = ((ConfigurationResponse) read).objects().size();
+            assertEquals(((ConfigurationResponse) read).objects(), lacking.subList(0, brought));
             lacking = lacking.subList(brought, lacking.size());
             asks++;
         }
         assertEquals(asks, 4);
     }
 
-    private static ConfigurationAnswer configuration(int objects, int documentBytes) {
+    private static ConfigurationResponse configuration(int objects, int documentBytes) {
         Optional<String> document = Optional.of("x".repeat(documentBytes));
-        return new ConfigurationAnswer(
+        return new ConfigurationResponse(
                 IntStream.range(0, objects)
                         .mapToObj(i -> new ObjectKey(ObjectKind.BACKEND, "runner-" + i))
                         .map(key -> new ConfigurationObject(key, 1, document))
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
@@ -18,8 +18,8 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.invariant.BrokenInvariantException;
-import org.cyclamenpaddle.core.message.ClaimAsk;
-import org.cyclamenpaddle.core.message.GrantEnd;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.GrantRelease;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.core.time.VirtualClock;
@@ -31,8 +31,8 @@
     private static final long SHORT_MILLIS = 200;
     private static final long PATIENCE_MILLIS = 20_000;
 
-    private static final GrantEnd END =
-            new GrantEnd(new AttemptId("a:1:1"), new BackendId("runner-1"));
+    private static final GrantRelease END =
+            new GrantRelease(new AttemptId("a:1:1"), new BackendId("runner-1"));
 
     @Test
     public void askThatTimesOutOnSilentConnectionGivesItUp() throws Exception {
@@ -98,8 +98,8 @@
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
         PeerListener listener =
                 (from, message) -> {
-                    asked.add(((ClaimAsk) message).key());
-                    return answers.get(((ClaimAsk) message).key());
+                    asked.add(((ClaimRequest) message).key());
+                    return answers.get(((ClaimRequest) message).key());
                 };
         VirtualClock clock = new VirtualClock(0);
         try (Node a = node("a", SILENT, TestHosts.NO_SIGNS, clock, PeerCounters.NONE);
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
@@ -22,9 +22,9 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
-import org.cyclamenpaddle.core.message.GrantEnd;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
+import org.cyclamenpaddle.core.message.GrantRelease;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.peer.net.TestHosts.Node;
@@ -44,7 +44,7 @@
                 };
         try (Node a = node("a", SILENT);
                 Node b = node("b", listener)) {
-            GrantEnd end = new GrantEnd(new AttemptId("a:1:1"), new BackendId("runner-1"));
+            GrantRelease end = new GrantRelease(new AttemptId("a:1:1"), new BackendId("runner-1"));
             a.network().send(b.host(), end);
             assertEquals(heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "a " + end);
         }
@@ -60,8 +60,8 @@
         PeerListener listener =
                 (from, message) -> {
                     CompletableFuture<Optional<PeerMessage>> answer = new CompletableFuture<>();
-                    held.put(((ClaimAsk) message).key(), answer);
-                    asked.add(((ClaimAsk) message).key());
+                    held.put(((ClaimRequest) message).key(), answer);
+                    asked.add(((ClaimRequest) message).key());
                     return answer;
                 };
         try (Node a = node("a", SILENT);
@@ -113,14 +113,14 @@
         assertFalse(a.network().probe(other, PATIENCE_MILLIS).get());
     }
 
-    static ClaimAsk claimAsk(String key) {
-        return new ClaimAsk(new ServiceName("spot-book"), key);
+    static ClaimRequest claimAsk(String key) {
+        return new ClaimRequest(new ServiceName("spot-book"), key);
     }
 
-    static ClaimAnswer ran(String body) {
-        return new ClaimAnswer(
-                ClaimAnswer.State.RAN,
-                Optional.of(new ClaimAnswer.KeptAnswer(200, "text/plain", body)));
+    static ClaimResponse ran(String body) {
+        return new ClaimResponse(
+                ClaimResponse.State.RAN,
+                Optional.of(new ClaimResponse.StoredResponse(200, "text/plain", body)));
     }
 
     private static int unboundPort() throws IOException {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/GracefulShutdown.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/GracefulShutdown.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public boolean takes(boolean streams) {
+    public boolean accepts(boolean streams) {
         if (!mStopping) {
             return true;
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -150,7 +150,7 @@
                     mCallerServer.start().join();
                     mCheckServer.start().join();
                     mFollowing.schedule(
-                            mStartupGate::end, StartupGate.MOST_MILLIS, TimeUnit.MILLISECONDS);
+                            mStartupGate::open, StartupGate.MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
                     mLog.log(
                             RelayEvent.STARTED,
                             mSettings.host().name(),
@@ -221,7 +221,7 @@
         new HostRegistry(
                         mSettings.host().name(),
                         mAdapter.hosts(),
-                        mBudget::hosts,
+                        mBudget::updateHostCount,
                         mLog,
                         mFollowing,
                         mClock,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/Signals.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/Signals.java
@@ -35,7 +35,7 @@
      * a second before it has read them. Without a handler it would end at once. Nothing is missed:
      * the settings are read after this, and again every few seconds.
      */
-    public static void outliveReload() {
+    public static void ignoreReload() {
         Signal.handle(new Signal("HUP"), signal -> {});
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
@@ -59,7 +59,7 @@
     private void learned() {
         if (complete() && !mCompleteSaid) {
             mCompleteSaid = true;
-            mStartupGate.end();
+            mStartupGate.open();
             mCompleted.run();
         }
     }
@@ -101,15 +101,15 @@
 
         @Override
         public void onStoreUnavailable(StoreFailure failure) {
-            mStartupGate.end();
+            mStartupGate.open();
             mConfiguration.confirmed(false);
-            mLog.log(RelayEvent.STORE_LOST, "configuration", failure);
+            mLog.log(RelayEvent.STORE_UNREACHABLE, "configuration", failure);
         }
 
         @Override
         public void onStoreAvailable(long awayMillis) {
             mConfiguration.confirmed(true);
-            mLog.log(RelayEvent.STORE_REGAINED, "configuration", awayMillis);
+            mLog.log(RelayEvent.STORE_REACHABLE, "configuration", awayMillis);
         }
     }
 
@@ -140,19 +140,19 @@
                         now.stage(),
                         now.draining());
             } else {
-                mLog.log(RelayEvent.BACKEND_GONE, entry.name(), entry.value().getLeft());
+                mLog.log(RelayEvent.BACKEND_REMOVED, entry.name(), entry.value().getLeft());
             }
         }
 
         @Override
         public void onStoreUnavailable(StoreFailure failure) {
-            mStartupGate.end();
-            mLog.log(RelayEvent.STORE_LOST, "backends", failure);
+            mStartupGate.open();
+            mLog.log(RelayEvent.STORE_UNREACHABLE, "backends", failure);
         }
 
         @Override
         public void onStoreAvailable(long awayMillis) {
-            mLog.log(RelayEvent.STORE_REGAINED, "backends", awayMillis);
+            mLog.log(RelayEvent.STORE_REACHABLE, "backends", awayMillis);
         }
 
         private Optional<BackendId> backendId(String name) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/EngineReport.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.relay.backend;
 
 import java.util.List;
-import org.cyclamenpaddle.routing.memory.RunningWork;
+import org.cyclamenpaddle.routing.memory.RunningGeneration;
 
 /**
  * State that an engine reports about itself, some hundred milliseconds old.
@@ -31,11 +31,11 @@
      *
      * @param tokensPerEvent number of tokens that one event represents
      */
-    public List<RunningWork> runningWork(int tokensPerEvent) {
+    public List<RunningGeneration> runningWork(int tokensPerEvent) {
         return generations.stream()
                 .map(
                         generation ->
-                                new RunningWork(
+                                new RunningGeneration(
                                         generation.heldTokens(),
                                         generation.events() * tokensPerEvent))
                 .toList();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/WorkSize.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.relay.backend;
 
-import org.cyclamenpaddle.routing.memory.NewWork;
+import org.cyclamenpaddle.routing.memory.NewGeneration;
 
 /**
  * Size of the work of one request on an engine.
@@ -29,7 +29,7 @@
     }
 
     /** Converts this size to the work of a new generation. */
-    public NewWork asNewWork() {
-        return new NewWork(promptTokens, outputTokens);
+    public NewGeneration asNewWork() {
+        return new NewGeneration(promptTokens, outputTokens);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -11,8 +11,8 @@
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.wire.BackendAnswer;
 import org.cyclamenpaddle.relay.wire.BackendCall;
+import org.cyclamenpaddle.relay.wire.BackendResponse;
 import org.cyclamenpaddle.relay.wire.PromptHandle;
 
 /** One send of a request to the backend server that runs it, up to its typed outcome. */
@@ -81,7 +81,7 @@
     private EventLoop mLoop;
     private BackendExchange mExchange;
     private Optional<ScheduledFuture<?>> mPatience = Optional.empty();
-    private BackendAnswer mHead;
+    private BackendResponse mHead;
     private final boolean mOthersLeft;
     private final Runnable mSentOnceMore;
     private Connection mConnection;
@@ -119,9 +119,9 @@
         mExchange =
                 BackendExchange.send(
                         mRelay.connections().client(target().address(), target().port(), kept),
-                        mRelay.messages().request(mRequest.caller(), mCall),
+                        mRelay.backendMessages().request(mRequest.caller(), mCall),
                         mRequest.body(),
-                        mRelay.messages(),
+                        mRelay.backendMessages(),
                         mLoop,
                         this);
         mExchange.listen();
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void head(BackendAnswer head) {
+    public void head(BackendResponse head) {
         mHead = head;
         if (head.notRun()) {
             mExchange.cancel();
@@ -226,7 +226,7 @@
         }
     }
 
-    private boolean ownAnswer(BackendAnswer head) {
+    private boolean ownAnswer(BackendResponse head) {
         boolean named = head.requestId().map(mRequest.caller().id()::equals).orElse(false);
         boolean misleading = PROMISES.contains(head.headers().status());
         return named && head.signed() && !misleading;
@@ -252,7 +252,7 @@
 
     private long patienceMillis() {
         double targets = mRequest.route().targetMillis() * PATIENCE_TARGETS;
-        return (long) Math.min(targets, mCall.leftMillis() * PATIENCE_SHARE);
+        return (long) Math.min(targets, mCall.remainingMillis() * PATIENCE_SHARE);
     }
 
     /** Gives a server up after a silence, where the request may be sent to another one. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendExchange.java
@@ -131,7 +131,7 @@
         if (object instanceof ResponseHeaders head && !interim && !mHeadSeen) {
             mHeadSeen = true;
             mEndsWithConnection = !head.contains(HttpHeaderNames.CONTENT_LENGTH);
-            mListener.head(mMessages.answer(head));
+            mListener.head(mMessages.response(head));
         }
         // Interim answers and trailers say nothing that is forwarded.
         more();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerAnswer.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerAnswer.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.relay.retry.CallerReply;
 import org.cyclamenpaddle.relay.retry.EventFramer;
 import org.cyclamenpaddle.relay.retry.RetryPolicy;
-import org.cyclamenpaddle.relay.wire.BackendAnswer;
+import org.cyclamenpaddle.relay.wire.BackendResponse;
 
 /**
  * The one answer that a caller gets, put together from what backend servers send.
@@ -32,7 +32,7 @@
     private final boolean mStreams;
     private final EventFramer mTail;
     private final ByteArrayOutputStream mHeld = new ByteArrayOutputStream();
-    private BackendAnswer mHead;
+    private BackendResponse mHead;
     private long mFirstMillis = -1;
     private long mLastMillis = -1;
     private long mPauseMillis;
@@ -51,7 +51,7 @@
     }
 
     /** Takes the head of a backend server's answer that may become the caller's. */
-    void head(BackendAnswer head) {
+    void head(BackendResponse head) {
         if (!mRetryPolicy.isForwarding()) {
             mHead = head;
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/DrainState.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/DrainState.java
@@ -15,5 +15,5 @@
      *
      * @param streams whether its answer is a stream
      */
-    boolean takes(boolean streams);
+    boolean accepts(boolean streams);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -70,7 +70,7 @@
                                 report.report().runningWork(shape.tokensPerEvent()),
                                 report.ageMillis(now) + BORN_OLD_MILLIS,
                                 size);
-        long left = wait.tokensLeft(now, size.memoryTokens(), usualTokens());
+        long left = wait.headroomTokens(now, size.memoryTokens(), usualTokens());
         return room.isPresent() ? OptionalLong.of(room.getAsLong() + left) : room;
     }
 
@@ -84,7 +84,7 @@
         mRelay.connections()
                 .keptClient(engine.address(), engine.port())
                 .execute(
-                        HttpRequest.of(mRelay.engines().report(engine)),
+                        HttpRequest.of(mRelay.engineMessages().report(engine)),
                         RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
                 .aggregate()
                 .whenCompleteAsync(
@@ -98,10 +98,9 @@
     private void take(Backend engine, AggregatedHttpResponse answer, Throwable failure) {
         Either<String, EngineReport> report =
                 failure == null
-                        ? mRelay.engines().report(answer)
+                        ? mRelay.engineMessages().report(answer)
                         : Either.left(String.valueOf(failure));
         report.peek(told -> mRelay.board().recordReport(engine, told, mRelay.clock().millis()))
-                .peekLeft(
-                        cause -> mRelay.log().log(RelayEvent.REPORT_NOT_READ, engine.id(), cause));
+                .peekLeft(cause -> mRelay.log().log(RelayEvent.REPORT_FAILED, engine.id(), cause));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -11,8 +11,8 @@
 import org.cyclamenpaddle.relay.backend.Backend;
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.wire.BackendAnswer;
 import org.cyclamenpaddle.relay.wire.BackendCall;
+import org.cyclamenpaddle.relay.wire.BackendResponse;
 import org.cyclamenpaddle.relay.wire.PromptHandle;
 
 /** Has one prompt read by a prefill engine; a failure here never means that the request ran. */
@@ -48,7 +48,7 @@
     private boolean mKept;
     private ScheduledFuture<?> mPatience;
     private BackendExchange mExchange;
-    private BackendAnswer mAnswer;
+    private BackendResponse mAnswer;
     private boolean mEnded;
     private boolean mRejected;
 
@@ -89,9 +89,9 @@
         mExchange =
                 BackendExchange.send(
                         mRelay.connections().client(mReader.address(), mReader.port(), kept),
-                        mRelay.messages().request(mRequest.caller(), call),
+                        mRelay.backendMessages().request(mRequest.caller(), call),
                         mRequest.body(),
-                        mRelay.messages(),
+                        mRelay.backendMessages(),
                         mLoop,
                         this);
         mExchange.listen();
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void head(BackendAnswer answer) {
+    public void head(BackendResponse answer) {
         mAnswer = answer;
         mExchange.more();
     }
@@ -141,7 +141,8 @@
             fail(SendOutcome.UNKNOWN, "answer for " + mAnswer.requestId().orElse("no request"));
             return;
         }
-        Either<String, PromptHandle> handle = mRelay.engines().prompt(mReader, mBody.toByteArray());
+        Either<String, PromptHandle> handle =
+                mRelay.engineMessages().promptHandle(mReader, mBody.toByteArray());
         if (handle.isLeft()) {
             fail(SendOutcome.UNKNOWN, handle.getLeft());
             return;
@@ -191,7 +192,7 @@
     private void fail(SendOutcome outcome, String cause) {
         end(outcome);
         mRelay.log().log(
-                RelayEvent.PROMPT_NOT_READ,
+                RelayEvent.PREFILL_FAILED,
                 mRequest.caller().id(),
                 mReader.id(),
                 outcome,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -18,10 +18,10 @@
  * @param board backend servers
  * @param budget repeats
  * @param demand of generations
- * @param callers how long callers wait, by route
+ * @param returningClients how long callers wait, by route
  * @param connections to backend servers
- * @param messages how callers' requests are sent on
- * @param engines how engines are spoken to about their memory
+ * @param backendMessages how callers' requests are sent on
+ * @param engineMessages how engines are spoken to about their memory
  * @param log decision lines
  * @param metrics counters
  * @param clock this host's clock
@@ -31,10 +31,10 @@
         BackendRegistry board,
         SharedRetryBudget budget,
         DemandMeter demand,
-        Table<ReturningClients> callers,
+        Table<ReturningClients> returningClients,
         BackendConnections connections,
-        BackendMessages messages,
-        EngineMessages engines,
+        BackendMessages backendMessages,
+        EngineMessages engineMessages,
         DecisionLog log,
         RelayMetrics metrics,
         Clock clock,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
@@ -37,6 +37,6 @@
             return Math.max(1, (long) (route.targetMillis() * CALL_SHARE));
         }
         double usualMillis = demand.of(service).map(Demand::decodeMillis).orElse(0.0);
-        return ClientRetryDelay.leastMillis(usualMillis, route.terms());
+        return ClientRetryDelay.minMillis(usualMillis, route.terms());
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayService.java
@@ -60,12 +60,12 @@
 
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
-        if (mStartupGate.isOver()) {
+        if (mStartupGate.isOpen()) {
             return take(context, request);
         }
         return HttpResponse.of(
                 mStartupGate
-                        .whenOver()
+                        .whenOpen()
                         .thenApplyAsync(over -> take(context, request), context.eventLoop()));
     }
 
@@ -88,7 +88,7 @@
         if (caller.isLeft()) {
             return refuse(headers, HttpStatus.BAD_REQUEST, caller.getLeft());
         }
-        if (!mStopping.takes(route.get().kind().streams())) {
+        if (!mStopping.accepts(route.get().kind().streams())) {
             return refuse(headers, HttpStatus.SERVICE_UNAVAILABLE, "host is stopping");
         }
         return run(context, request, configuration.get(), route.get(), caller.get());
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -61,14 +61,14 @@
         mLoop = loop;
         mOnEnd = onEnd;
         mStartMillis = relay.clock().millis();
-        long callerMillis = request.caller().callerMillis().orElse(Long.MAX_VALUE);
+        long callerMillis = request.caller().callerTimeoutMillis().orElse(Long.MAX_VALUE);
         mRetryPolicy = new RetryPolicy(RetryLimits.of(request.route(), callerMillis), mStartMillis);
         mAnswer = new CallerAnswer(writer, request, retryAfter, mRetryPolicy);
         mRequestLog = new RequestLog(relay, request, mRetryPolicy, mAnswer, mStartMillis);
     }
 
     void start() {
-        mRelay.budget().requested(mRequest.service());
+        mRelay.budget().recordRequest(mRequest.service());
         if (mRequest.engine().isPresent()) {
             mRelay.demand().recordStart(mRequest.service(), mRequest.caller().size());
         }
@@ -326,7 +326,7 @@
             mReader.ifPresent(
                     reader ->
                             send.prompt()
-                                    .map(mRelay.engines()::release)
+                                    .map(mRelay.engineMessages()::release)
                                     .ifPresent(call -> ReserveCall.quietly(mRelay, reader, call)));
         }
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestLog.java
@@ -35,7 +35,7 @@
     /** The caller has left before its answer. */
     void callerGone(Optional<Backend> backend) {
         mRelay.log().log(
-                RelayEvent.CALLER_GONE,
+                RelayEvent.CALLER_DISCONNECTED,
                 mRequest.caller().id(),
                 mRequest.route().name(),
                 name(backend),
@@ -72,7 +72,7 @@
     /** The caller's answer was cut short. */
     void cut(Optional<Backend> backend, String reason) {
         mRelay.log().log(
-                RelayEvent.REQUEST_CUT,
+                RelayEvent.RESPONSE_TRUNCATED,
                 mRequest.caller().id(),
                 mRequest.route().name(),
                 name(backend),
@@ -98,7 +98,7 @@
     /** A send has ended without an answer for the caller. */
     void sendEnded(BackendAttempt send, SendOutcome outcome, String cause, RetryDecision next) {
         mRelay.log().log(
-                RelayEvent.SEND_ENDED,
+                RelayEvent.ATTEMPT_ENDED,
                 mRequest.caller().id(),
                 send.target().id().value(),
                 outcome,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -68,24 +68,24 @@
 
     private static RetryStage stage(
             RelayContext relay, RelayRequest request, boolean sentBefore, long nowMillis) {
-        OptionalLong waits = request.caller().callerMillis();
+        OptionalLong waits = request.caller().callerTimeoutMillis();
         if (sentBefore) {
-            return RetryStage.REPEAT;
+            return RetryStage.RETRY;
         }
         ReservationWait first =
                 ReservationWait.begin(nowMillis, request.route().terms(), RetryStage.FIRST);
         long spent = first.waitMillis() + request.comeBackMillis(relay.demand());
         boolean comesBack =
                 waits.isPresent()
-                        && relay.callers()
+                        && relay.returningClients()
                                 .read(
                                         callers ->
-                                                callers.comesBack(
+                                                callers.isReturning(
                                                         request.route().name(),
                                                         waits.getAsLong(),
                                                         spent,
                                                         nowMillis));
-        return comesBack ? RetryStage.COME_BACK : RetryStage.FIRST;
+        return comesBack ? RetryStage.RETURNING : RetryStage.FIRST;
     }
 
     /** Asks the best engine that has not just said that it is full, or pauses before it does. */
@@ -97,7 +97,7 @@
                         : mRelay.board().select(mRequest.service(), size(), mAvoid, now);
         if (chosen.isPresent()) {
             ask(chosen.get());
-        } else if (!mReservationWait.mayGoOn(now)) {
+        } else if (!mReservationWait.mayRetry(now)) {
             mClosed = true;
             mListener.found(Optional.empty());
         } else {
@@ -172,11 +172,14 @@
         giveBack(runner, answer.outcome());
         if (answer.full()) {
             mRelay.board().recordFull(runner, mRelay.clock().millis());
-            mReservePacing.turnedAway();
+            mReservePacing.rejected();
         } else {
             mAvoid.add(runner.id());
             mRelay.log().log(
-                    RelayEvent.PLACE_NOT_KEPT, mRequest.caller().id(), runner.id(), answer.cause());
+                    RelayEvent.RESERVATION_FAILED,
+                    mRequest.caller().id(),
+                    runner.id(),
+                    answer.cause());
         }
         find();
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -97,7 +97,7 @@
 
     /** Gives a kept place back that no request will take. */
     static void cancel(RelayContext relay, Backend engine, String reservation) {
-        quietly(relay, engine, relay.engines().cancel(reservation));
+        quietly(relay, engine, relay.engineMessages().cancel(reservation));
     }
 
     /** Makes a call whose failure harms nothing, since what it frees lapses by itself. */
@@ -110,7 +110,7 @@
                 .aggregate()
                 .exceptionally(
                         failure -> {
-                            relay.log().log(RelayEvent.NOT_FREED, backend.id(), failure);
+                            relay.log().log(RelayEvent.RELEASE_FAILED, backend.id(), failure);
                             return null;
                         });
     }
@@ -120,7 +120,7 @@
         return mRelay.connections()
                 .client(mEngine.address(), mEngine.port(), keptConnection)
                 .execute(
-                        mRelay.engines().reserve(mEngine, tokens, millis).toHttpRequest(),
+                        mRelay.engineMessages().reserve(mEngine, tokens, millis).toHttpRequest(),
                         RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
                 .aggregate()
                 .handle(
@@ -141,7 +141,7 @@
         if (answer.status().equals(HttpStatus.MISDIRECTED_REQUEST)) {
             return new Answer(Optional.empty(), SendOutcome.MISDIRECTED, "another engine");
         }
-        Either<String, Optional<String>> kept = mRelay.engines().reservation(answer);
+        Either<String, Optional<String>> kept = mRelay.engineMessages().reservation(answer);
         return kept.fold(
                 problem -> new Answer(Optional.empty(), SendOutcome.NOT_SENT, problem),
                 name -> new Answer(name, SendOutcome.ABANDONED, "none"));
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -51,18 +51,18 @@
     }
 
     /** Divides the slack among so many hosts from now on. */
-    public void hosts(int hosts) {
+    public void updateHostCount(int hosts) {
         mBudget.write(budget -> budget.adjust(settings(Math.max(1, hosts))));
     }
 
     /** Counts a caller's request. */
-    public void requested(ServiceName service) {
-        mBudget.write(budget -> budget.freshRequest(service, mClock.millis()));
+    public void recordRequest(ServiceName service) {
+        mBudget.write(budget -> budget.recordRequest(service, mClock.millis()));
     }
 
     /** Takes one repeat and returns whether there was one. */
     public boolean tryTake(ServiceName service) {
-        return mBudget.read(budget -> budget.tryTake(service, mClock.millis()));
+        return mBudget.read(budget -> budget.tryAcquire(service, mClock.millis()));
     }
 
     private RetryBudget.Settings settings(int hosts) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/StartupGate.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/StartupGate.java
@@ -9,7 +9,7 @@
  * <p>A process listens about a tenth of a second before its first listings are there. Callers that
  * were cut off by a power loss knock just then; refused, they would have used up the one time that
  * they come again. They wait while the listings are under way and no longer: as soon as the store
- * fails a call, or after {@link #MOST_MILLIS}, they are refused at once as before.
+ * fails a call, or after {@link #MAX_WAIT_MILLIS}, they are refused at once as before.
  */
 public final class StartupGate {
 
@@ -18,20 +18,20 @@
      * when all hosts start at once, and half of the second after which callers leave a request that
      * is not read.
      */
-    public static final long MOST_MILLIS = 500;
+    public static final long MAX_WAIT_MILLIS = 500;
 
     private final CompletableFuture<Void> mOver = new CompletableFuture<>();
 
     /** Ends the wait of all requests, for good. */
-    public void end() {
+    public void open() {
         mOver.complete(null);
     }
 
-    boolean isOver() {
+    boolean isOpen() {
         return mOver.isDone();
     }
 
-    CompletionStage<Void> whenOver() {
+    CompletionStage<Void> whenOpen() {
         return mOver;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
@@ -49,7 +49,7 @@
     private LibraryLog() {}
 
     /** Sends warnings and errors of all libraries to a log, in place of to standard error. */
-    public static void into(DecisionLog log) {
+    public static void install(DecisionLog log) {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         Arrays.stream(root.getHandlers()).forEach(root::removeHandler);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/RelayEvent.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/RelayEvent.java
@@ -18,8 +18,8 @@
     LIBRARY_WARNING(
             2007, Weight.TELLING, "warning of a library", List.of("logger", "text", "failure")),
 
-    STORE_LOST(2101, Weight.STATE, "store calls fail", List.of("kind", "failure")),
-    STORE_REGAINED(2102, Weight.STATE, "store calls succeed again", List.of("kind", "awayMillis")),
+    STORE_UNREACHABLE(2101, Weight.STATE, "store calls fail", List.of("kind", "failure")),
+    STORE_REACHABLE(2102, Weight.STATE, "store calls succeed again", List.of("kind", "awayMillis")),
     CONFIGURATION_IN_FORCE(
             2103, Weight.STATE, "configuration in force", List.of("version", "was", "routes")),
     CONFIGURATION_IGNORED(
@@ -30,7 +30,8 @@
             Weight.STATE,
             "backend server changed",
             List.of("backend", "endpoint", "stage", "leaving")),
-    BACKEND_GONE(2107, Weight.STATE, "backend server has no entry", List.of("backend", "reason")),
+    BACKEND_REMOVED(
+            2107, Weight.STATE, "backend server has no entry", List.of("backend", "reason")),
     BACKEND_EJECTED(
             2108, Weight.STATE, "backend server left out", List.of("backend", "outcome", "cause")),
     HOSTS_COUNTED(2111, Weight.STATE, "hosts counted", List.of("hosts", "was")),
@@ -65,37 +66,37 @@
             Weight.TELLING,
             "request ended without its answer",
             List.of("request", "route", "version", "told", "reason", "sends", "millis")),
-    REQUEST_CUT(
+    RESPONSE_TRUNCATED(
             2203,
             Weight.TELLING,
             "answer cut short",
             List.of("request", "route", "backend", "reason", "lastEvent", "sends", "millis")),
-    CALLER_GONE(
+    CALLER_DISCONNECTED(
             2204,
             Weight.TELLING,
             "caller left before its answer",
             List.of("request", "route", "backend", "sends", "millis")),
-    SEND_ENDED(
+    ATTEMPT_ENDED(
             2205,
             Weight.TELLING,
             "send without an answer for the caller",
             List.of("request", "backend", "outcome", "cause", "millis", "next")),
-    PROMPT_NOT_READ(
+    PREFILL_FAILED(
             2206,
             Weight.TELLING,
             "prompt not read by a prefill engine",
             List.of("request", "backend", "outcome", "cause", "millis")),
-    PLACE_NOT_KEPT(
+    RESERVATION_FAILED(
             2208,
             Weight.TELLING,
             "engine did not say whether it keeps a place",
             List.of("request", "backend", "cause")),
-    NOT_FREED(
+    RELEASE_FAILED(
             2209,
             Weight.TELLING,
             "what an engine keeps was not freed",
             List.of("backend", "cause")),
-    REPORT_NOT_READ(2210, Weight.TELLING, "engine's report not read", List.of("backend", "cause")),
+    REPORT_FAILED(2210, Weight.TELLING, "engine's report not read", List.of("backend", "cause")),
     REQUEST_REFUSED(
             2207,
             Weight.TELLING,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/DemandMeter.java
@@ -10,10 +10,10 @@
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.relay.backend.WorkSize;
 import org.cyclamenpaddle.relay.route.EngineProfile;
-import org.cyclamenpaddle.routing.memory.EngineWork;
+import org.cyclamenpaddle.routing.memory.EngineGenerations;
 import org.cyclamenpaddle.routing.memory.MemoryForecast;
 import org.cyclamenpaddle.routing.memory.OutputLengths;
-import org.cyclamenpaddle.routing.memory.RunningWork;
+import org.cyclamenpaddle.routing.memory.RunningGeneration;
 
 /** Measures the demand of each service's generations as observed by this host; thread-safe. */
 public final class DemandMeter {
@@ -50,7 +50,7 @@
 
     /** Records a generation that has arrived. */
     public void recordStart(ServiceName service, WorkSize size) {
-        mDemands.write(demands -> of(demands, service).mLengths.begun(size.asNewWork()));
+        mDemands.write(demands -> of(demands, service).mLengths.started(size.asNewWork()));
     }
 
     /**
@@ -85,7 +85,7 @@
 
     /**
      * Returns the number of tokens that must be free at an engine in addition to the reservation of
-     * a new generation; see {@link MemoryForecast#room}.
+     * a new generation; see {@link MemoryForecast#requiredFreeTokens}.
      *
      * @param service the service
      * @param profile profile of its engines
@@ -96,7 +96,7 @@
     public OptionalLong requiredFreeTokens(
             ServiceName service,
             EngineProfile profile,
-            List<RunningWork> generations,
+            List<RunningGeneration> generations,
             long reportAgeMillis,
             WorkSize size) {
         return mDemands.read(
@@ -104,8 +104,9 @@
                     ServiceDemand demandOfService = of(demands, service);
                     long tokensSinceReport =
                             Math.round(demandOfService.mMean.tokensPerMilli() * reportAgeMillis);
-                    return demandOfService.mForecast.room(
-                            new EngineWork(profile.memoryTokens(), generations, tokensSinceReport),
+                    return demandOfService.mForecast.requiredFreeTokens(
+                            new EngineGenerations(
+                                    profile.memoryTokens(), generations, tokensSinceReport),
                             size.asNewWork());
                 });
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.routing.reservation.CallerTerms;
+import org.cyclamenpaddle.routing.reservation.CallerLimits;
 
 /**
  * Destination and treatment of requests with one host name and path prefix.
@@ -55,8 +55,8 @@
     }
 
     /** Returns the latency that callers accept. */
-    public CallerTerms terms() {
-        return new CallerTerms(targetMillis, silenceMillis);
+    public CallerLimits terms() {
+        return new CallerLimits(targetMillis, silenceMillis);
     }
 
     /** Returns whether a request may be sent again after it may have run. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendMessages.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendMessages.java
@@ -10,5 +10,5 @@
     RequestHeaders request(CallerRequest request, BackendCall call);
 
     /** Decodes the head of an answer. */
-    BackendAnswer answer(ResponseHeaders headers);
+    BackendResponse response(ResponseHeaders headers);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendAnswer.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/BackendResponse.java
@@ -12,10 +12,10 @@
  * @param signed whether the server vouches for the answer
  * @param notRun whether the server says that it has not run the request and never will
  */
-public record BackendAnswer(
+public record BackendResponse(
         ResponseHeaders headers, Optional<String> requestId, boolean signed, boolean notRun) {
 
-    public BackendAnswer {
+    public BackendResponse {
         if (headers == null || requestId == null) {
             throw new IllegalArgumentException("answer needs headers");
         }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/CallerRequest.java
@@ -10,14 +10,14 @@
  *
  * @param id names this attempt of the caller
  * @param headers what backend servers are to see, without anything that only the relay may say
- * @param callerMillis how long the caller waits; empty if it does not say
+ * @param callerTimeoutMillis how long the caller waits; empty if it does not say
  * @param size its work
  * @param resumeAfter id of the last event that the caller has; empty at the beginning
  */
 public record CallerRequest(
         String id,
         RequestHeaders headers,
-        OptionalLong callerMillis,
+        OptionalLong callerTimeoutMillis,
         WorkSize size,
         Optional<String> resumeAfter) {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/EngineMessages.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/wire/EngineMessages.java
@@ -16,7 +16,7 @@
 public interface EngineMessages {
 
     /** Decodes the body of the answer to a call that had a prompt read by an engine. */
-    Either<String, PromptHandle> prompt(Backend reader, byte[] body);
+    Either<String, PromptHandle> promptHandle(Backend reader, byte[] body);
 
     /**
      * Returns the call that keeps a place at an engine.
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/assembly/GracefulShutdownTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/assembly/GracefulShutdownTest.java
@@ -56,19 +56,19 @@
     @Test
     public void lateStreamsAreRefusedAndCallsAreTakenForLonger() {
         GracefulShutdown stop = stop();
-        assertTrue(stop.takes(true));
+        assertTrue(stop.accepts(true));
         long[] lastStream = {0};
         long[] lastCall = {0};
         run(
                 stop,
                 now -> {
-                    lastStream[0] = stop.takes(true) ? now : lastStream[0];
-                    lastCall[0] = stop.takes(false) ? now : lastCall[0];
+                    lastStream[0] = stop.accepts(true) ? now : lastStream[0];
+                    lastCall[0] = stop.accepts(false) ? now : lastCall[0];
                     return 1;
                 });
         assertEquals(lastStream[0] / 100, GracefulShutdown.STREAMS_MILLIS / 100 - 1);
         assertEquals(lastCall[0] / 100, (GRACE - GracefulShutdown.CALLS_MILLIS) / 100 - 1);
-        assertFalse(stop.takes(true));
-        assertFalse(stop.takes(false));
+        assertFalse(stop.accepts(true));
+        assertFalse(stop.accepts(false));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/BackendExchangeTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/BackendExchangeTest.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.relay.backend.SendOutcome;
-import org.cyclamenpaddle.relay.wire.BackendAnswer;
 import org.cyclamenpaddle.relay.wire.BackendCall;
 import org.cyclamenpaddle.relay.wire.BackendMessages;
+import org.cyclamenpaddle.relay.wire.BackendResponse;
 import org.cyclamenpaddle.relay.wire.CallerRequest;
 import org.testng.annotations.Test;
 
@@ -35,8 +35,8 @@
         }
 
         @Override
-        public BackendAnswer answer(ResponseHeaders headers) {
-            return new BackendAnswer(headers, Optional.of("r1"), true, false);
+        public BackendResponse response(ResponseHeaders headers) {
+            return new BackendResponse(headers, Optional.of("r1"), true, false);
         }
     }
 
@@ -48,7 +48,7 @@
         private BackendExchange mExchange;
 
         @Override
-        public void head(BackendAnswer head) {
+        public void head(BackendResponse head) {
             mEvents.add("head");
             mExchange.more();
         }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/SharedRetryBudgetTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/SharedRetryBudgetTest.java
@@ -34,7 +34,7 @@
                 IntStream.range(0, hosts)
                         .mapToObj(i -> new SharedRetryBudget(SHARE, slack, WINDOW_MILLIS, clock))
                         .toList();
-        budgets.forEach(budget -> budget.hosts(hosts));
+        budgets.forEach(budget -> budget.updateHostCount(hosts));
         Random random = new Random(5);
         int steps = 600;
         int[] requests = new int[steps];
@@ -43,7 +43,7 @@
             clock.advance(100);
             requests[step] = step > 250 && step < 300 ? 12 : 4;
             for (int i = 0; i < requests[step]; i++) {
-                budgets.get(random.nextInt(hosts)).requested(SERVICE);
+                budgets.get(random.nextInt(hosts)).recordRequest(SERVICE);
             }
             for (SharedRetryBudget budget : budgets) {
                 while (budget.tryTake(SERVICE)) {
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/DecisionLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/DecisionLogTest.java
@@ -35,7 +35,7 @@
     @Test
     public void lineNamesEventAndFieldsAndCannotBeForged() {
         DecisionLog log = log(mOut);
-        log.log(RelayEvent.BACKEND_GONE, "i-1", "a \"quote\"\nand a line");
+        log.log(RelayEvent.BACKEND_REMOVED, "i-1", "a \"quote\"\nand a line");
         log.flush();
         assertEquals(
                 lines(),
@@ -55,8 +55,8 @@
     public void fullQueueDropsOrdinaryLinesFirstAndSaysHowMany() {
         DecisionLog log = log(mOut);
         IntStream.range(0, DecisionLog.QUEUE_LINES)
-                .forEach(i -> log.log(RelayEvent.NOT_FREED, "i-1", i));
-        log.log(RelayEvent.STORE_LOST, "configuration", "NO_ANSWER");
+                .forEach(i -> log.log(RelayEvent.RELEASE_FAILED, "i-1", i));
+        log.log(RelayEvent.STORE_UNREACHABLE, "configuration", "NO_ANSWER");
         log.flush();
         int kept = DecisionLog.QUEUE_LINES * 3 / 4;
         assertEquals(lines().size(), kept + 2);
@@ -68,6 +68,6 @@
     public void wrongNumberOfFieldsIsABrokenInvariant() {
         assertThrows(
                 BrokenInvariantException.class,
-                () -> log(mOut).log(RelayEvent.BACKEND_GONE, "one"));
+                () -> log(mOut).log(RelayEvent.BACKEND_REMOVED, "one"));
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
@@ -24,7 +24,7 @@
     public void warningIsOneStructuredLine() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DecisionLog log = new DecisionLog(out, "h", () -> Instant.EPOCH);
-        LibraryLog.into(log);
+        LibraryLog.install(log);
         Logger library = Logger.getLogger("some.library");
         library.info("all is well");
         library.log(Level.WARNING, "cannot read", new IllegalStateException("gone"));
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -22,23 +22,23 @@
 import org.cyclamenpaddle.peer.net.PeerNetwork;
 import org.cyclamenpaddle.peer.net.PeerSettings;
 import org.cyclamenpaddle.router.backend.BackendClients;
+import org.cyclamenpaddle.router.backend.BackendFailureReporter;
 import org.cyclamenpaddle.router.backend.Canceller;
 import org.cyclamenpaddle.router.backend.EngineMonitor;
-import org.cyclamenpaddle.router.backend.LossNotices;
 import org.cyclamenpaddle.router.backend.PrefixMonitor;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.router.blackboard.RequestTable;
 import org.cyclamenpaddle.router.booking.BookingServices;
 import org.cyclamenpaddle.router.booking.Bookings;
-import org.cyclamenpaddle.router.booking.PeerClaimers;
-import org.cyclamenpaddle.router.booking.PlainChoice;
+import org.cyclamenpaddle.router.booking.PeerClaimHolders;
+import org.cyclamenpaddle.router.booking.PlainBackendSelector;
 import org.cyclamenpaddle.router.booking.RepeatableCalls;
 import org.cyclamenpaddle.router.configuration.ConfigurationDriver;
 import org.cyclamenpaddle.router.configuration.PlatformAdmin;
 import org.cyclamenpaddle.router.configuration.PlatformHealth;
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.explain.DecisionLog;
-import org.cyclamenpaddle.router.grant.LedgerKeeper;
+import org.cyclamenpaddle.router.grant.LedgerManager;
 import org.cyclamenpaddle.router.metric.GaugeSources;
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.router.operator.OperatorApi;
@@ -46,16 +46,16 @@
 import org.cyclamenpaddle.router.order.OrderDriver;
 import org.cyclamenpaddle.router.order.OrderServices;
 import org.cyclamenpaddle.router.order.SlotStore;
-import org.cyclamenpaddle.router.peering.CountingPeers;
 import org.cyclamenpaddle.router.peering.HeartbeatContents;
-import org.cyclamenpaddle.router.peering.HostFinder;
+import org.cyclamenpaddle.router.peering.HostDiscovery;
 import org.cyclamenpaddle.router.peering.MembershipDriver;
 import org.cyclamenpaddle.router.peering.NetworkTransport;
-import org.cyclamenpaddle.router.peering.PeerDispatch;
-import org.cyclamenpaddle.router.request.Decisions;
+import org.cyclamenpaddle.router.peering.PeerMessageDispatcher;
+import org.cyclamenpaddle.router.peering.PeerMetrics;
 import org.cyclamenpaddle.router.request.HostEnvironment;
-import org.cyclamenpaddle.router.request.Learning;
 import org.cyclamenpaddle.router.request.ModelRequests;
+import org.cyclamenpaddle.router.request.RequestAccounting;
+import org.cyclamenpaddle.router.request.RequestPolicies;
 import org.cyclamenpaddle.router.request.RequestServices;
 import org.cyclamenpaddle.router.settings.RouterSettings;
 import org.cyclamenpaddle.router.worker.Workers;
@@ -97,20 +97,20 @@
     private final NetworkTransport mTransport;
     private final MembershipDriver mMembership;
     private final ConfigurationDriver mConfiguration;
-    private final LedgerKeeper mLedgers;
+    private final LedgerManager mLedgers;
     private final BackendClients mClients;
     private final Canceller mCanceller;
     private final OrderDriver mOrders;
     private final EngineMonitor mEngineMonitor;
     private final PrefixMonitor mPrefixes;
     private final RetryBudget mRetries;
-    private final Learning mLearning;
+    private final RequestAccounting mLearning;
     private final HostEnvironment mEnvironment;
     private final ModelRequests mRequests;
     private final PlainServiceClient mPlainClient;
     private final Bookings mBookings;
     private final RepeatableCalls mRepeatable;
-    private final HostFinder mFinder;
+    private final HostDiscovery mFinder;
     private final PeerNetwork mNetwork;
 
     Controllers(RouterSettings settings, EventLog log, FailureStop failure) {
@@ -127,7 +127,7 @@
         mTransport = new NetworkTransport(this::network);
         mMembership = membership(failure);
         mConfiguration = configuration();
-        mLedgers = new LedgerKeeper(mBlackboard, mMembership, mTransport, mClock, log, mMetrics);
+        mLedgers = new LedgerManager(mBlackboard, mMembership, mTransport, mClock, log, mMetrics);
         mClients = new BackendClients(mConnections);
         mCanceller = new Canceller(mClients, mBlackboard, mWorkers, mMetrics);
         mOrders = orderDriver();
@@ -148,13 +148,14 @@
         mEnvironment = environment();
         mRequests = modelRequests();
         mPlainClient = new PlainServiceClient(mConnections);
-        PlainChoice choice = new PlainChoice(mBlackboard, settings.host().failureDomain(), mClock);
+        PlainBackendSelector choice =
+                new PlainBackendSelector(mBlackboard, settings.host().failureDomain(), mClock);
         mBookings = new Bookings(bookingServices(choice), mDecisions.retentionMillis());
         mRepeatable =
                 new RepeatableCalls(
                         choice, mPlainClient, mEnvironment::newAttempt, mRetries, mMetrics, mClock);
         mFinder =
-                new HostFinder(
+                new HostDiscovery(
                         settings.peers().seeds(), mHostList, mMembership, mTransport, mHealth);
         mNetwork = peerNetwork();
         mMembership.onHostChanged(this::hostChanged);
@@ -170,8 +171,9 @@
      * @param longestMillis after which the host joins without
      */
     void learnConfiguration(long longestMillis) {
-        ScheduledFuture<?> asking = mWorkers.every(START_PAUSE_MILLIS, this::askForConfiguration);
-        Try.run(() -> mConfiguration.known().get(longestMillis, TimeUnit.MILLISECONDS));
+        ScheduledFuture<?> asking =
+                mWorkers.scheduleWithFixedDelay(START_PAUSE_MILLIS, this::askForConfiguration);
+        Try.run(() -> mConfiguration.initialized().get(longestMillis, TimeUnit.MILLISECONDS));
         asking.cancel(false);
     }
 
@@ -187,7 +189,7 @@
                                         .thenAccept(
                                                 found ->
                                                         found.ifPresent(
-                                                                mConfiguration::askAtStart)));
+                                                                mConfiguration::requestAtStart)));
     }
 
     /** Runs what follows the hosts and the platform; called often. */
@@ -234,8 +236,8 @@
     /** Returns what must end before this host may leave. */
     int openWork() {
         return mBlackboard.requests().read(RequestTable::inFlight)
-                + mBookings.open()
-                + mRepeatable.open()
+                + mBookings.pending()
+                + mRepeatable.pending()
                 + mCanceller.pending();
     }
 
@@ -286,7 +288,7 @@
         return mPrefixes;
     }
 
-    HostFinder finder() {
+    HostDiscovery finder() {
         return mFinder;
     }
 
@@ -352,7 +354,7 @@
                 mCodec,
                 mBlackboard,
                 new ConfigurationDriver.Runtime(mWorkers, mClock, mLog, mHealth),
-                mTransport::ask,
+                mTransport::request,
                 mMembership::alive,
                 random(2));
     }
@@ -373,8 +375,8 @@
 
     private HostEnvironment environment() {
         PlacementPolicy policy = mSettings.routing().policy();
-        Decisions decisions =
-                new Decisions(
+        RequestPolicies decisions =
+                new RequestPolicies(
                         policy,
                         new Admission(policy, AdmissionSettings.DEFAULTS),
                         mRetries,
@@ -386,7 +388,7 @@
                 mSettings.host().failureDomain(),
                 mBlackboard,
                 decisions,
-                new LossNotices(mBlackboard, mMembership, mTransport, mClock, mLog),
+                new BackendFailureReporter(mBlackboard, mMembership, mTransport, mClock, mLog),
                 random(3));
     }
 
@@ -405,7 +407,7 @@
                 services, mEnvironment, mDecisions.requests(), mDecisionLog::record, mLearning);
     }
 
-    private BookingServices bookingServices(PlainChoice choice) {
+    private BookingServices bookingServices(PlainBackendSelector choice) {
         return new BookingServices(
                 mSelf,
                 mClock,
@@ -421,27 +423,27 @@
                         mHealth),
                 choice,
                 mPlainClient,
-                new PeerClaimers(mMembership, mTransport, mDecisions.retentionMillis()),
+                new PeerClaimHolders(mMembership, mTransport, mDecisions.retentionMillis()),
                 mMetrics,
                 mLog,
                 mDecisionLog::record);
     }
 
     private PeerNetwork peerNetwork() {
-        PeerDispatch dispatch =
-                new PeerDispatch(
+        PeerMessageDispatcher dispatch =
+                new PeerMessageDispatcher(
                         mMembership, mConfiguration, mLedgers, mBookings, mBlackboard, mClock);
         return new PeerNetwork(
                 mMembership::self,
                 dispatch,
                 PeerSettings.DEFAULT,
                 mClock,
-                new CountingPeers(mMetrics, mLog));
+                new PeerMetrics(mMetrics, mLog));
     }
 
     private GaugeSources gauges() {
         return new GaugeSources(
-                mLedgers::heldGrants,
+                mLedgers::totalGrantCount,
                 () -> mBlackboard.requests().read(RequestTable::inFlight),
                 () -> mBlackboard.configuration().read(cell -> cell.inForceVersion()),
                 () ->
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.fleet.claim.ClaimShardSettings;
-import org.cyclamenpaddle.router.request.Learning;
+import org.cyclamenpaddle.router.request.RequestAccounting;
 import org.cyclamenpaddle.router.settings.RouterSettings;
 import org.cyclamenpaddle.routing.expect.OutputLengthEstimator;
 import org.cyclamenpaddle.routing.limit.ConcurrencyLimit;
@@ -34,13 +34,13 @@
         return new QuarantineSettings(
                 defaults.strikesToQuarantine(),
                 mSettings.limits().quarantineMillis(),
-                defaults.mostFingerprints());
+                defaults.maxFingerprints());
     }
 
     RetryBudget.Settings retries() {
         RetryBudget.Settings defaults = RetryBudget.Settings.DEFAULTS;
         return new RetryBudget.Settings(
-                mSettings.limits().retryShare(), defaults.floorPerSecond(), defaults.most());
+                mSettings.limits().retryShare(), defaults.minPerSecond(), defaults.capacity());
     }
 
     RequestSettings requests() {
@@ -69,8 +69,8 @@
                 defaults.flushMillis());
     }
 
-    Learning learning() {
-        return new Learning(
+    RequestAccounting learning() {
+        return new RequestAccounting(
                 new OutputLengthEstimator(LENGTH_QUANTILE, LENGTH_SOURCES),
                 new ConcurrencyLimit(
                         new ConcurrencyLimit.Settings(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
@@ -109,17 +109,23 @@
                 mFront.port(),
                 mSettings.host().peerPort());
         mControllers.workers().execute(mControllers.finder()::tick);
-        mControllers.workers().every(HOST_TICK_MILLIS, this::hostTick);
-        mControllers.workers().every(LEDGER_TICK_MILLIS, mControllers::ledgerTick);
-        mControllers.workers().every(ORDER_TICK_MILLIS, mControllers.orders()::tick);
+        mControllers.workers().scheduleWithFixedDelay(HOST_TICK_MILLIS, this::hostTick);
+        mControllers.workers().scheduleWithFixedDelay(LEDGER_TICK_MILLIS, mControllers::ledgerTick);
         mControllers
                 .workers()
-                .every(mSettings.timing().reconcileMillis(), mControllers.engineMonitor()::tick);
+                .scheduleWithFixedDelay(ORDER_TICK_MILLIS, mControllers.orders()::tick);
         mControllers
                 .workers()
-                .every(mSettings.timing().loadPollMillis(), mControllers.prefixes()::tick);
-        mControllers.workers().every(FINDER_TICK_MILLIS, mControllers.finder()::tick);
-        mControllers.workers().every(STOP_TICK_MILLIS, this::stopTick);
+                .scheduleWithFixedDelay(
+                        mSettings.timing().reconcileMillis(), mControllers.engineMonitor()::tick);
+        mControllers
+                .workers()
+                .scheduleWithFixedDelay(
+                        mSettings.timing().loadPollMillis(), mControllers.prefixes()::tick);
+        mControllers
+                .workers()
+                .scheduleWithFixedDelay(FINDER_TICK_MILLIS, mControllers.finder()::tick);
+        mControllers.workers().scheduleWithFixedDelay(STOP_TICK_MILLIS, this::stopTick);
     }
 
     private void hostTick() {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FleetStatus.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FleetStatus.java
@@ -15,7 +15,7 @@
 import org.cyclamenpaddle.fleet.membership.PeerDigest;
 import org.cyclamenpaddle.router.blackboard.BackendTable;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
-import org.cyclamenpaddle.router.blackboard.ConfigurationCell;
+import org.cyclamenpaddle.router.blackboard.ConfigurationState;
 import org.cyclamenpaddle.router.configuration.PlatformHealth;
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.router.operator.BackendStatus;
@@ -52,7 +52,7 @@
         return new StatusReport(
                 mMembership.self().incarnation().host(),
                 view.inForce(),
-                mBlackboard.configuration().read(ConfigurationCell::inForceVersion),
+                mBlackboard.configuration().read(ConfigurationState::inForceVersion),
                 mHealth.reachable(),
                 hosts(),
                 backends(view),
@@ -61,8 +61,8 @@
     }
 
     private List<HostStatus> hosts() {
-        long digest = mBlackboard.configuration().read(ConfigurationCell::digest);
-        long inForce = mBlackboard.configuration().read(ConfigurationCell::inForceVersion);
+        long digest = mBlackboard.configuration().read(ConfigurationState::digest);
+        long inForce = mBlackboard.configuration().read(ConfigurationState::inForceVersion);
         Map<HostId, PeerDigest> peers = mMembership.peerDigests();
         HostRecord self = mMembership.self();
         return mMembership.hosts().stream()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/LossNotices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
@@ -9,10 +9,10 @@
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.grant.HostView;
 import org.cyclamenpaddle.router.grant.PeerLink;
-import org.cyclamenpaddle.router.request.LossListener;
+import org.cyclamenpaddle.router.request.BackendFailureListener;
 
 /** Ranks lost backend servers last, gives strikes, and tells every live host of them. */
-public final class LossNotices implements LossListener {
+public final class BackendFailureReporter implements BackendFailureListener {
 
     private final Blackboard mBlackboard;
     private final HostView mHosts;
@@ -29,7 +29,7 @@
      * @param clock time in milliseconds
      * @param log events
      */
-    public LossNotices(
+    public BackendFailureReporter(
             Blackboard blackboard, HostView hosts, PeerLink peers, Clock clock, EventLog log) {
         mBlackboard = blackboard;
         mHosts = hosts;
@@ -39,16 +39,16 @@
     }
 
     @Override
-    public void unreached(BackendId backend, long now) {
+    public void onUnreachable(BackendId backend, long now) {
         mBlackboard.backends().write(table -> table.suspect(backend, now));
     }
 
     @Override
-    public void died(BackendId backend, long fingerprint, long now) {
+    public void onCrash(BackendId backend, long fingerprint, long now) {
         List<StrikeNotice> notices =
                 mBlackboard
-                        .suspects()
-                        .read(table -> table.onBackendDied(backend, List.of(fingerprint), now));
+                        .quarantine()
+                        .read(table -> table.onBackendCrashed(backend, List.of(fingerprint), now));
         notices.forEach(this::tell);
         notices.forEach(notice -> logged(notice, backend));
     }
@@ -65,9 +65,9 @@
                 LogEvent.QUARANTINE_STRIKE,
                 Long.toHexString(notice.fingerprint()),
                 backend,
-                notice.struck().size());
+                notice.crashedBackends().size());
         mBlackboard
-                .suspects()
+                .quarantine()
                 .read(table -> table.quarantinedMillis(notice.fingerprint(), mClock.millis()))
                 .ifPresent(
                         millis ->
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
@@ -68,7 +68,7 @@
         }
         mMetrics.retried(RetryReason.CANCEL_UNCONFIRMED);
         long pause = FIRST_PAUSE_MILLIS << Math.min(MOST_DOUBLINGS, failures);
-        mWorkers.after(
+        mWorkers.schedule(
                 Math.min(LONGEST_PAUSE_MILLIS, pause),
                 () -> attempt(backend, attempt, failures + 1));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
@@ -21,7 +21,7 @@
 import org.cyclamenpaddle.router.blackboard.RequestTable;
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
-import org.cyclamenpaddle.router.grant.LedgerKeeper;
+import org.cyclamenpaddle.router.grant.LedgerManager;
 import org.cyclamenpaddle.router.peering.MembershipDriver;
 import org.cyclamenpaddle.router.worker.Workers;
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
@@ -32,7 +32,7 @@
  */
 public final class EngineMonitor {
 
-    private final LedgerKeeper mLedgers;
+    private final LedgerManager mLedgers;
     private final BackendClients mClients;
     private final MembershipDriver mMembership;
     private final Blackboard mBlackboard;
@@ -56,7 +56,7 @@
      * @param log events
      */
     public EngineMonitor(
-            LedgerKeeper ledgers,
+            LedgerManager ledgers,
             BackendClients clients,
             MembershipDriver membership,
             Blackboard blackboard,
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.engine.model.CacheEvents;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
-import org.cyclamenpaddle.router.request.PrefixLearner;
+import org.cyclamenpaddle.router.request.PrefixCacheListener;
 import org.cyclamenpaddle.router.worker.Workers;
 import org.cyclamenpaddle.routing.placement.CacheEvent;
 import org.cyclamenpaddle.routing.placement.PrefixHints;
@@ -26,7 +26,7 @@
  * own failure domain. Hosts do not exchange it: it is a hint, and the block hashes of all prompts
  * would take more than control may use.
  */
-public final class PrefixMonitor implements PrefixHints, PrefixLearner {
+public final class PrefixMonitor implements PrefixHints, PrefixCacheListener {
 
     private static final int MOST_BLOCKS = 200_000;
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void learned(BackendId backend, List<Long> blockHashes) {
+    public void onPrefilled(BackendId backend, List<Long> blockHashes) {
         synchronized (mIndex) {
             mIndex.prefilled(backend, blockHashes);
         }
@@ -96,7 +96,7 @@
         synchronized (mIndex) {
             // A sequence that went back is a new life of the engine, with an empty cache.
             if (last != null && events.lastSequence() < last) {
-                mIndex.forget(engine);
+                mIndex.remove(engine);
             }
             mIndex.apply(engine, typed(events), events.lastSequence());
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the age of the last summary in milliseconds; 0 if none was heard. */
-    public long hintAge(BackendId backend, long now) {
+    public long hintAgeMillis(BackendId backend, long now) {
         Entry entry = entry(backend);
         return entry.mHint == null ? 0 : Math.max(0, now - entry.mHintAt);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/Blackboard.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/Blackboard.java
@@ -19,19 +19,19 @@
  * @param backends what is heard of backend servers
  * @param grants ledgers of the backend servers that this host owns
  * @param requests what this host's requests hold
- * @param suspects strikes and quarantine
+ * @param quarantine strikes and quarantine
  */
 public record Blackboard(
-        Table<ConfigurationCell> configuration,
+        Table<ConfigurationState> configuration,
         Table<BackendTable> backends,
         Table<Map<BackendId, GrantLedger>> grants,
         Table<RequestTable> requests,
-        Table<Quarantine> suspects) {
+        Table<Quarantine> quarantine) {
 
     /** Returns empty tables around a quarantine. */
     public static Blackboard create(Quarantine quarantine) {
         return new Blackboard(
-                new Table<>(TableOrder.CONFIGURATION, new ConfigurationCell()),
+                new Table<>(TableOrder.CONFIGURATION, new ConfigurationState()),
                 new Table<>(TableOrder.BACKENDS, new BackendTable()),
                 new Table<>(TableOrder.GRANTS, new HashMap<>()),
                 new Table<>(TableOrder.REQUESTS, new RequestTable()),
@@ -40,6 +40,6 @@
 
     /** Returns the configuration in force on this host. */
     public ConfigurationView view() {
-        return configuration.read(ConfigurationCell::view);
+        return configuration.read(ConfigurationState::view);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/ConfigurationCell.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/ConfigurationState.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.invariant.Invariants;
 
 /** The configuration in force on this host, parsed. */
-public final class ConfigurationCell {
+public final class ConfigurationState {
 
     private ConfigurationView mView = ConfigurationView.EMPTY;
     private long mInForceVersion;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/RequestTable.java
@@ -8,17 +8,17 @@
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 
 /** What this host's requests hold: attempts on backend servers, and room asked for. */
 public final class RequestTable {
 
     private final Map<AttemptId, BackendId> mRunning = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mAsked = new HashMap<>();
+    private final Map<AttemptId, GrantRequest> mAsked = new HashMap<>();
     private int mInFlight;
 
     /** Counts a caller's request that came in ({@code 1}) or ended ({@code -1}). */
-    public void requests(int change) {
+    public void changeInFlight(int change) {
         mInFlight += change;
     }
 
@@ -38,17 +38,17 @@
     }
 
     /** Notes that room was asked for. */
-    public void asked(GrantAsk ask) {
+    public void grantRequested(GrantRequest ask) {
         mAsked.put(ask.attempt(), ask);
     }
 
     /** Notes that room is not needed any more. */
-    public void released(AttemptId attempt) {
+    public void grantReleased(AttemptId attempt) {
         mAsked.remove(attempt);
     }
 
     /** Returns the room asked for on a backend server, to tell a new owner. */
-    public List<GrantAsk> askedOn(BackendId backend) {
+    public List<GrantRequest> grantsRequestedOn(BackendId backend) {
         return mAsked.values().stream()
                 .filter(ask -> ask.backend().equals(backend))
                 .collect(Collectors.toList());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -9,8 +9,8 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 import org.cyclamenpaddle.engine.plain.PlainRequest;
@@ -42,7 +42,7 @@
     interface OwnClaims {
 
         /** Answers an ask, leaving out the attempt that asks. */
-        ClaimAnswer answer(ClaimAsk ask, Optional<AttemptId> asking);
+        ClaimResponse answer(ClaimRequest ask, Optional<AttemptId> asking);
     }
 
     BookingRun(
@@ -61,9 +61,11 @@
     /** Starts the call; to be run on the serial executor. */
     void start() {
         long deadline = mCall.call().timeoutMillis();
-        mServices.workers().after(deadline, () -> feed(new BookingEvent.Timeout()));
+        mServices.workers().schedule(deadline, () -> feed(new BookingEvent.Timeout()));
         // The first may only have led to an ask of the peers, which must not last for ever.
-        mServices.workers().after(deadline + PEERS_MILLIS, () -> feed(new BookingEvent.Timeout()));
+        mServices
+                .workers()
+                .schedule(deadline + PEERS_MILLIS, () -> feed(new BookingEvent.Timeout()));
         perform(mMachine.start());
     }
 
@@ -90,15 +92,15 @@
             mServices.claims().claim(write.claim(), verdict -> feed(verdict.event()));
         } else if (effect instanceof BookingEffect.Dispatch dispatch) {
             dispatch(dispatch);
-        } else if (effect instanceof BookingEffect.AskClaimer ask) {
+        } else if (effect instanceof BookingEffect.QueryClaimHolder ask) {
             askClaimer(ask);
-        } else if (effect instanceof BookingEffect.AskPeers ask) {
-            askPeers(ask.ask());
+        } else if (effect instanceof BookingEffect.QueryPeers ask) {
+            askPeers(ask.request());
         } else if (effect instanceof BookingEffect.RecordOutcome outcome) {
             mServices.claims().outcome(outcome.claim(), outcome.outcome());
         } else if (effect instanceof BookingEffect.WakeAt wake) {
             long delay = Math.max(0, wake.millis() - mServices.clock().millis());
-            mServices.workers().after(delay, () -> feed(new BookingEvent.Wake()));
+            mServices.workers().schedule(delay, () -> feed(new BookingEvent.Wake()));
         } else if (effect instanceof BookingEffect.Reply reply) {
             reply(reply.reply());
         }
@@ -107,7 +109,7 @@
     }
 
     private void dispatch(BookingEffect.Dispatch dispatch) {
-        Optional<BackendSpec> chosen = mServices.choice().choose(mCall.service().name(), mTried);
+        Optional<BackendSpec> chosen = mServices.selector().select(mCall.service().name(), mTried);
         if (chosen.isEmpty()) {
             take(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
@@ -115,7 +117,7 @@
         BackendSpec backend = chosen.get();
         mTried.add(backend.id());
         record(DecisionStep.CALL_SENT, backend.id() + " as " + dispatch.attempt());
-        mServices.choice().inFlight(backend.id(), 1);
+        mServices.selector().inFlight(backend.id(), 1);
         mServices
                 .client()
                 .call(backend, request(dispatch.attempt()))
@@ -134,10 +136,10 @@
     }
 
     private void called(BackendSpec backend, PlainResult result) {
-        mServices.choice().inFlight(backend.id(), -1);
+        mServices.selector().inFlight(backend.id(), -1);
         if (result instanceof PlainResult.NothingSent nothing) {
             record(DecisionStep.RETRIED, backend.id() + ": " + nothing.reason());
-            mServices.choice().unreached(backend.id());
+            mServices.selector().onUnreachable(backend.id());
             mServices.metrics().retried(RetryReason.CONNECT_FAILED);
             take(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
@@ -147,7 +149,7 @@
             record(DecisionStep.CALL_SENT, backend.id() + ": status " + answered.status());
             take(
                     new BookingEvent.ResponseComplete(
-                            new ClaimAnswer.KeptAnswer(
+                            new ClaimResponse.StoredResponse(
                                     answered.status(),
                                     answered.contentType(),
                                     Bookings.text(answered.body()))));
@@ -163,37 +165,39 @@
         }
     }
 
-    private void askClaimer(BookingEffect.AskClaimer ask) {
+    private void askClaimer(BookingEffect.QueryClaimHolder ask) {
         record(DecisionStep.CLAIM, "ask " + ask.holder());
         if (ask.holder().equals(mServices.self())) {
-            take(new BookingEvent.ClaimerAnswered(ownAnswer(ask.ask())));
+            take(new BookingEvent.ClaimHolderResponded(ownAnswer(ask.request())));
             return;
         }
         mServices
-                .claimers()
-                .ask(ask.holder(), ask.ask())
+                .claimHolders()
+                .query(ask.holder(), ask.request())
                 .thenAccept(
                         found ->
                                 feed(
-                                        found.<BookingEvent>map(BookingEvent.ClaimerAnswered::new)
-                                                .orElseGet(BookingEvent.ClaimerUnreachable::new)));
+                                        found.<BookingEvent>map(
+                                                        BookingEvent.ClaimHolderResponded::new)
+                                                .orElseGet(
+                                                        BookingEvent.ClaimHolderUnreachable::new)));
     }
 
-    private void askPeers(ClaimAsk ask) {
+    private void askPeers(ClaimRequest ask) {
         record(DecisionStep.CLAIM, "platform away, ask all hosts");
-        ClaimAnswer own = ownAnswer(ask);
+        ClaimResponse own = ownAnswer(ask);
         mServices
-                .claimers()
-                .askAll(ask)
+                .claimHolders()
+                .queryAll(ask)
                 .thenAccept(
                         answers -> {
-                            List<ClaimAnswer.State> states = new ArrayList<>(answers.states());
+                            List<ClaimResponse.State> states = new ArrayList<>(answers.states());
                             states.add(own.state());
-                            feed(new BookingEvent.PeersAnswered(states, answers.complete()));
+                            feed(new BookingEvent.PeersResponded(states, answers.complete()));
                         });
     }
 
-    private ClaimAnswer ownAnswer(ClaimAsk ask) {
+    private ClaimResponse ownAnswer(ClaimRequest ask) {
         return mOwnClaims.answer(ask, Optional.of(mMachine.claim().attempt()));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingServices.java
@@ -24,9 +24,9 @@
  * @param workers pool and timers
  * @param newAttempt makes attempt ids
  * @param claims keeps claims
- * @param choice chooses backend servers
+ * @param selector chooses backend servers
  * @param client calls plain services
- * @param claimers asks the hosts that hold claims
+ * @param claimHolders asks the hosts that hold claims
  * @param metrics counters
  * @param log events
  * @param recorder keeps steps for operators
@@ -38,9 +38,9 @@
         Workers workers,
         Supplier<AttemptId> newAttempt,
         ClaimStore claims,
-        PlainChoice choice,
+        PlainBackendSelector selector,
         PlainServiceClient client,
-        ClaimerLink claimers,
+        ClaimHolders claimHolders,
         RouterMetrics metrics,
         EventLog log,
         StepRecorder recorder) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
@@ -8,8 +8,8 @@
 import org.cyclamenpaddle.core.config.ServiceSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.RequestId;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.fleet.claim.BookingMachine;
 import org.cyclamenpaddle.fleet.claim.BookingReply;
@@ -87,7 +87,7 @@
     }
 
     /** Answers a peer that met a claim of this host, or that can't read claims. */
-    public CompletableFuture<PeerMessage> onClaimAsk(ClaimAsk ask) {
+    public CompletableFuture<PeerMessage> onClaimRequest(ClaimRequest ask) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         mSerial.execute(() -> answer.complete(answer(ask, Optional.empty())));
         return answer;
@@ -99,7 +99,7 @@
     }
 
     /** Returns calls without an answer, and outcomes that the platform has not kept yet. */
-    public int open() {
+    public int pending() {
         return mOpen.get() + mServices.claims().pending();
     }
 
@@ -112,11 +112,11 @@
                 mServices.epochMillis().getAsLong());
     }
 
-    private ClaimAnswer answer(ClaimAsk ask, Optional<AttemptId> asking) {
-        return mTable.answer(
+    private ClaimResponse answer(ClaimRequest ask, Optional<AttemptId> asking) {
+        return mTable.claimResponse(
                 new ClaimKey(ask.service(), ask.key()),
                 asking,
-                mServices.claimers().lostLately(mRetentionMillis),
+                mServices.claimHolders().hostLostWithin(mRetentionMillis),
                 mServices.clock().millis());
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
@@ -14,11 +14,11 @@
 import org.cyclamenpaddle.fleet.claim.ClaimCodec;
 import org.cyclamenpaddle.fleet.claim.ClaimDocument;
 import org.cyclamenpaddle.fleet.claim.ClaimRecord;
+import org.cyclamenpaddle.fleet.claim.ClaimResult;
 import org.cyclamenpaddle.fleet.claim.ClaimShard;
 import org.cyclamenpaddle.fleet.claim.ClaimShardEffect;
 import org.cyclamenpaddle.fleet.claim.ClaimShardSettings;
 import org.cyclamenpaddle.fleet.claim.ClaimState;
-import org.cyclamenpaddle.fleet.claim.ClaimVerdict;
 import org.cyclamenpaddle.router.configuration.PlatformHealth;
 import org.cyclamenpaddle.router.worker.SerialExecutor;
 import org.cyclamenpaddle.router.worker.Workers;
@@ -41,7 +41,7 @@
     private final LongSupplier mEpochMillis;
     private final PlatformHealth mHealth;
     private final Map<Integer, Shard> mShards = new ConcurrentHashMap<>();
-    private final Map<AttemptId, Consumer<ClaimVerdict>> mWaiting = new ConcurrentHashMap<>();
+    private final Map<AttemptId, Consumer<ClaimResult>> mWaiting = new ConcurrentHashMap<>();
 
     ClaimStore(
             ObjectStore store,
@@ -61,7 +61,7 @@
     }
 
     /** Has a claim written; the verdict comes on a worker. */
-    void claim(ClaimRecord claim, Consumer<ClaimVerdict> verdict) {
+    void claim(ClaimRecord claim, Consumer<ClaimResult> verdict) {
         mWaiting.put(claim.attempt(), verdict);
         shard(claim).run(shard -> shard.claim(claim, mEpochMillis.getAsLong()));
     }
@@ -118,7 +118,7 @@
                         .thenAccept(this::written);
             } else if (effect instanceof ClaimShardEffect.Settled settled) {
                 Optional.ofNullable(mWaiting.remove(settled.claim().attempt()))
-                        .ifPresent(verdict -> verdict.accept(settled.verdict()));
+                        .ifPresent(verdict -> verdict.accept(settled.result()));
             }
         }
 
@@ -154,7 +154,7 @@
         private void failed(PlatformError error) {
             if (error.mayHaveTakenEffect()) {
                 mHealth.failed(error);
-                run(ClaimShard::onAnswerLost);
+                run(ClaimShard::onResponseLost);
             } else {
                 away(error);
             }
@@ -162,7 +162,7 @@
 
         private void away(PlatformError error) {
             mHealth.failed(error);
-            run(shard -> shard.onPlatformAway(mClock.millis()));
+            run(shard -> shard.onPlatformUnavailable(mClock.millis()));
         }
 
         private long version(Optional<StoredObject> found) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.ClaimAnswer;
-import org.cyclamenpaddle.core.message.ClaimAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ClaimResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.HostState;
 import org.cyclamenpaddle.router.grant.PeerLink;
 import org.cyclamenpaddle.router.peering.MembershipDriver;
 
 /** Asks about keys over the peer network. */
-public final class PeerClaimers implements ClaimerLink {
+public final class PeerClaimHolders implements ClaimHolders {
 
     private static final long ASK_MILLIS = 500;
 
@@ -34,14 +34,14 @@
      * @param peers messages
      * @param retentionMillis how long claims are kept
      */
-    public PeerClaimers(MembershipDriver membership, PeerLink peers, long retentionMillis) {
+    public PeerClaimHolders(MembershipDriver membership, PeerLink peers, long retentionMillis) {
         mMembership = membership;
         mPeers = peers;
         mRetentionMillis = retentionMillis;
     }
 
     @Override
-    public CompletableFuture<Optional<ClaimAnswer>> ask(Incarnation holder, ClaimAsk ask) {
+    public CompletableFuture<Optional<ClaimResponse>> query(Incarnation holder, ClaimRequest ask) {
         Optional<HostRecord> host =
                 mMembership
                         .record(holder.host())
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public CompletableFuture<Answers> askAll(ClaimAsk ask) {
+    public CompletableFuture<PeerStates> queryAll(ClaimRequest ask) {
         Incarnation self = mMembership.self().incarnation();
         List<HostRecord> others =
                 mMembership.hosts().stream()
@@ -60,39 +60,39 @@
                         .collect(Collectors.toList());
         boolean hopeless =
                 others.size() > MOST_HOSTS_ASKED
-                        || lostLately(mRetentionMillis)
+                        || hostLostWithin(mRetentionMillis)
                         || others.stream().anyMatch(host -> host.state() == HostState.DEAD);
         if (hopeless) {
-            return CompletableFuture.completedFuture(new Answers(List.of(), false));
+            return CompletableFuture.completedFuture(new PeerStates(List.of(), false));
         }
-        List<CompletableFuture<Optional<ClaimAnswer>>> asked =
+        List<CompletableFuture<Optional<ClaimResponse>>> asked =
                 others.stream().map(host -> ask(host, ask)).collect(Collectors.toList());
         return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
                 .thenApply(done -> answers(asked));
     }
 
     @Override
-    public boolean lostLately(long spanMillis) {
-        return mMembership.lostLately(spanMillis);
+    public boolean hostLostWithin(long spanMillis) {
+        return mMembership.hostLostWithin(spanMillis);
     }
 
-    private Answers answers(List<CompletableFuture<Optional<ClaimAnswer>>> asked) {
-        List<ClaimAnswer.State> states =
+    private PeerStates answers(List<CompletableFuture<Optional<ClaimResponse>>> asked) {
+        List<ClaimResponse.State> states =
                 asked.stream()
                         .flatMap(answer -> answer.join().stream())
-                        .map(ClaimAnswer::state)
+                        .map(ClaimResponse::state)
                         .collect(Collectors.toList());
         // Read after the answers: a host lost meanwhile may be the one that knew.
-        boolean complete = states.size() == asked.size() && !lostLately(mRetentionMillis);
-        return new Answers(states, complete);
+        boolean complete = states.size() == asked.size() && !hostLostWithin(mRetentionMillis);
+        return new PeerStates(states, complete);
     }
 
-    private CompletableFuture<Optional<ClaimAnswer>> ask(HostRecord host, ClaimAsk ask) {
-        return mPeers.ask(host, ask, ASK_MILLIS)
+    private CompletableFuture<Optional<ClaimResponse>> ask(HostRecord host, ClaimRequest ask) {
+        return mPeers.request(host, ask, ASK_MILLIS)
                 .thenApply(
                         answer ->
                                 answer.toJavaOptional()
-                                        .filter(ClaimAnswer.class::isInstance)
-                                        .map(ClaimAnswer.class::cast));
+                                        .filter(ClaimResponse.class::isInstance)
+                                        .map(ClaimResponse.class::cast));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PlainChoice.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PlainBackendSelector.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 
 /** Chooses an instance of a plain service: reachable, near, least loaded by this host. */
-public final class PlainChoice {
+public final class PlainBackendSelector {
 
     private final Blackboard mBlackboard;
     private final FailureDomain mDomain;
@@ -25,14 +25,14 @@
      * @param domain this host's failure domain
      * @param clock time in milliseconds
      */
-    public PlainChoice(Blackboard blackboard, FailureDomain domain, Clock clock) {
+    public PlainBackendSelector(Blackboard blackboard, FailureDomain domain, Clock clock) {
         mBlackboard = blackboard;
         mDomain = domain;
         mClock = clock;
     }
 
     /** Returns an instance that was not tried yet; empty if there is none. */
-    public Optional<BackendSpec> choose(ServiceName service, Set<BackendId> tried) {
+    public Optional<BackendSpec> select(ServiceName service, Set<BackendId> tried) {
         long now = mClock.millis();
         Comparator<BackendSpec> order =
                 Comparator.<BackendSpec, Boolean>comparing(spec -> suspected(spec, now))
@@ -50,7 +50,7 @@
     }
 
     /** Notes that no connection to an instance could be had. */
-    public void unreached(BackendId backend) {
+    public void onUnreachable(BackendId backend) {
         mBlackboard.backends().write(table -> table.suspect(backend, mClock.millis()));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -27,7 +27,7 @@
 
     private static final int MOST_TRIES = 3;
 
-    private final PlainChoice mChoice;
+    private final PlainBackendSelector mChoice;
     private final PlainServiceClient mClient;
     private final Supplier<AttemptId> mNewAttempt;
     private final RetryBudget mBudget;
@@ -46,7 +46,7 @@
      * @param clock time in milliseconds
      */
     public RepeatableCalls(
-            PlainChoice choice,
+            PlainBackendSelector choice,
             PlainServiceClient client,
             Supplier<AttemptId> newAttempt,
             RetryBudget budget,
@@ -69,7 +69,7 @@
      * @param contentType media type of the body, if said
      * @param body the body
      */
-    public record OpenCall(
+    public record RepeatableCall(
             ServiceSpec service,
             PlainCall call,
             String pathAndQuery,
@@ -77,9 +77,9 @@
             byte[] body) {}
 
     /** Makes a call; the future never fails. */
-    public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(OpenCall call) {
+    public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(RepeatableCall call) {
         synchronized (mBudget) {
-            mBudget.freshRequest(call.service().name(), mClock.millis());
+            mBudget.recordRequest(call.service().name(), mClock.millis());
         }
         mOpen.incrementAndGet();
         return attempt(call, mClock.millis() + call.call().timeoutMillis(), new HashSet<>())
@@ -87,14 +87,14 @@
     }
 
     /** Returns calls without an answer. */
-    public int open() {
+    public int pending() {
         return mOpen.get();
     }
 
     private CompletableFuture<Either<Refusal, PlainResult.Answered>> attempt(
-            OpenCall call, long deadline, Set<BackendId> tried) {
+            RepeatableCall call, long deadline, Set<BackendId> tried) {
         long left = deadline - mClock.millis();
-        Optional<BackendSpec> chosen = mChoice.choose(call.service().name(), tried);
+        Optional<BackendSpec> chosen = mChoice.select(call.service().name(), tried);
         if (left <= 0 || chosen.isEmpty()) {
             RefusalReason reason =
                     left <= 0 ? RefusalReason.DEADLINE_PASSED : RefusalReason.NO_BACKEND;
@@ -107,7 +107,7 @@
                 .thenCompose(result -> settle(call, deadline, tried, backend, result));
     }
 
-    private PlainRequest request(OpenCall call, long timeoutMillis) {
+    private PlainRequest request(RepeatableCall call, long timeoutMillis) {
         return new PlainRequest(
                 mNewAttempt.get(),
                 call.call().method(),
@@ -119,7 +119,7 @@
     }
 
     private CompletableFuture<Either<Refusal, PlainResult.Answered>> settle(
-            OpenCall call,
+            RepeatableCall call,
             long deadline,
             Set<BackendId> tried,
             BackendSpec backend,
@@ -129,7 +129,7 @@
             return CompletableFuture.completedFuture(Either.right(answered));
         }
         if (result instanceof PlainResult.NothingSent) {
-            mChoice.unreached(backend.id());
+            mChoice.onUnreachable(backend.id());
         }
         if (tried.size() >= MOST_TRIES || !takeRetry(call)) {
             return refused(RefusalReason.BACKEND_FAILED);
@@ -138,9 +138,9 @@
         return attempt(call, deadline, tried);
     }
 
-    private boolean takeRetry(OpenCall call) {
+    private boolean takeRetry(RepeatableCall call) {
         synchronized (mBudget) {
-            return mBudget.tryTake(call.service().name(), mClock.millis());
+            return mBudget.tryAcquire(call.service().name(), mClock.millis());
         }
     }
 
