--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -15,8 +15,8 @@
 import org.cyclamenpaddle.core.config.ObjectKey;
 import org.cyclamenpaddle.core.config.ObjectKind;
 import org.cyclamenpaddle.core.id.PresetName;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
 import org.cyclamenpaddle.core.time.Clock;
@@ -26,7 +26,7 @@
 import org.cyclamenpaddle.fleet.configuration.ConfigurationSyncSettings;
 import org.cyclamenpaddle.peer.net.PeerError;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
-import org.cyclamenpaddle.router.blackboard.ConfigurationCell;
+import org.cyclamenpaddle.router.blackboard.ConfigurationState;
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.worker.SerialExecutor;
@@ -55,7 +55,7 @@
     private final Clock mClock;
     private final EventLog mLog;
     private final PlatformHealth mHealth;
-    private final PeerAsker mPeers;
+    private final PeerRequester mPeers;
     private final Supplier<Collection<HostRecord>> mAlive;
     private final SerialExecutor mSerial;
     private final ConfigurationReplica mReplica = new ConfigurationReplica();
@@ -82,7 +82,7 @@
             ConfigurationCodec codec,
             Blackboard blackboard,
             Runtime runtime,
-            PeerAsker peers,
+            PeerRequester peers,
             Supplier<Collection<HostRecord>> alive,
             UniformRandomProvider random) {
         mStore = store;
@@ -113,17 +113,17 @@
     }
 
     /** Completes once the platform or a peer has told this host the configuration. */
-    public CompletableFuture<Void> known() {
+    public CompletableFuture<Void> initialized() {
         return mKnown;
     }
 
     /** Asks a host that is not known as a member yet. */
-    public void askAtStart(HostRecord peer) {
-        mSerial.execute(() -> askPeer(peer, new ConfigurationAsk(mReplica.known())));
+    public void requestAtStart(HostRecord peer) {
+        mSerial.execute(() -> askPeer(peer, new ConfigurationRequest(mReplica.knownVersions())));
     }
 
     /** Takes the digest in a peer's heartbeat. */
-    public void peerDigest(HostRecord peer, long digest) {
+    public void onPeerDigest(HostRecord peer, long digest) {
         mSerial.execute(
                 () -> {
                     if (digest == mReplica.digest()) {
@@ -134,26 +134,26 @@
     }
 
     /** Answers a peer's ask. */
-    public CompletableFuture<Optional<PeerMessage>> peerAsk(ConfigurationAsk ask) {
+    public CompletableFuture<Optional<PeerMessage>> onPeerRequest(ConfigurationRequest ask) {
         CompletableFuture<Optional<PeerMessage>> answer = new CompletableFuture<>();
         mSerial.execute(
                 () ->
                         answer.complete(
-                                mSync.onPeerAsk(ask).stream()
-                                        .filter(ConfigurationEffect.Answer.class::isInstance)
-                                        .map(ConfigurationEffect.Answer.class::cast)
-                                        .<PeerMessage>map(ConfigurationEffect.Answer::answer)
+                                mSync.onPeerRequest(ask).stream()
+                                        .filter(ConfigurationEffect.Respond.class::isInstance)
+                                        .map(ConfigurationEffect.Respond.class::cast)
+                                        .<PeerMessage>map(ConfigurationEffect.Respond::response)
                                         .findFirst()));
         return answer;
     }
 
     /** Takes objects that a peer pushed. */
-    public void peerPush(ConfigurationAnswer answer) {
-        mSerial.execute(() -> perform(mSync.onPeerAnswer(answer)));
+    public void onPeerPush(ConfigurationResponse answer) {
+        mSerial.execute(() -> perform(mSync.onPeerResponse(answer)));
     }
 
     /** Takes an object that this host has just written; completes when it is in force here. */
-    public CompletableFuture<Void> written(ConfigurationObject object) {
+    public CompletableFuture<Void> onWritten(ConfigurationObject object) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         mSerial.execute(
                 () -> {
@@ -181,8 +181,8 @@
             watch(watch.afterRevision());
         } else if (effect instanceof ConfigurationEffect.StopWatch) {
             mGeneration++;
-        } else if (effect instanceof ConfigurationEffect.AskPeer ask) {
-            askPeer(ask.peer(), ask.ask());
+        } else if (effect instanceof ConfigurationEffect.QueryPeer ask) {
+            askPeer(ask.peer(), ask.request());
         } else if (effect instanceof ConfigurationEffect.Applied applied) {
             apply(applied.objects());
         }
@@ -249,16 +249,16 @@
         mBlackboard.configuration().write(cell -> cell.confirm(mClock.millis()));
     }
 
-    private void askPeer(HostRecord peer, ConfigurationAsk ask) {
-        mPeers.ask(peer, ask, PEER_ASK_MILLIS)
+    private void askPeer(HostRecord peer, ConfigurationRequest ask) {
+        mPeers.request(peer, ask, PEER_ASK_MILLIS)
                 .thenAccept(answer -> mSerial.execute(() -> answered(answer)));
     }
 
     private void answered(Either<PeerError, PeerMessage> answer) {
-        boolean usable = answer.isRight() && answer.get() instanceof ConfigurationAnswer;
+        boolean usable = answer.isRight() && answer.get() instanceof ConfigurationResponse;
         perform(
                 usable
-                        ? mSync.onPeerAnswer((ConfigurationAnswer) answer.get())
+                        ? mSync.onPeerResponse((ConfigurationResponse) answer.get())
                         : mSync.onPeerFailed());
         if (usable) {
             mKnown.complete(null);
@@ -270,7 +270,7 @@
         long inForce = mReplica.inForceVersion();
         long digest = mReplica.digest();
         Optional<PresetName> previous = mBlackboard.view().inForce();
-        long before = mBlackboard.configuration().read(ConfigurationCell::inForceVersion);
+        long before = mBlackboard.configuration().read(ConfigurationState::inForceVersion);
         mBlackboard.configuration().write(cell -> cell.apply(parsed.view(), inForce, digest));
         objects.stream()
                 .filter(object -> object.key().kind() == ObjectKind.PRESET)
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PeerAsker.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PeerRequester.java
@@ -8,9 +8,9 @@
 
 /** Asks a peer and waits for its answer. */
 @FunctionalInterface
-public interface PeerAsker {
+public interface PeerRequester {
 
     /** Sends an ask; the future never fails. */
-    CompletableFuture<Either<PeerError, PeerMessage>> ask(
+    CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
@@ -192,7 +192,7 @@
         String document = mCodec.encode(change, spec);
         ConfigurationObject object =
                 new ConfigurationObject(key, version.orElseThrow(), Optional.of(document));
-        return mDriver.written(object)
+        return mDriver.onWritten(object)
                 .thenApply(
                         done ->
                                 Either.right(
@@ -252,7 +252,7 @@
         }
         ConfigurationObject tombstone =
                 new ConfigurationObject(key, deleted.getAsLong(), Optional.empty());
-        return mDriver.written(tombstone).thenApply(done -> Either.right(tombstone.version()));
+        return mDriver.onWritten(tombstone).thenApply(done -> Either.right(tombstone.version()));
     }
 
     private Either<ChangeRefusal, OptionalLong> settle(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/Explanation.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/explain/Explanation.java
@@ -8,12 +8,12 @@
  *
  * @param request the request
  * @param decisions in the order in which they were made
- * @param left decisions beyond the bound that were not kept
+ * @param omitted decisions beyond the bound that were not kept
  */
-public record Explanation(RequestId request, List<Decision> decisions, int left) {
+public record Explanation(RequestId request, List<Decision> decisions, int omitted) {
 
     public Explanation {
-        if (request == null || left < 0) {
+        if (request == null || omitted < 0) {
             throw new IllegalArgumentException("bad explanation of " + request);
         }
         decisions = List.copyOf(decisions);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionSink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionSink.java
@@ -12,10 +12,10 @@
 import org.cyclamenpaddle.core.id.RequestId;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.router.problem.Problem;
-import org.cyclamenpaddle.router.request.AnswerSink;
+import org.cyclamenpaddle.router.request.ResponseSink;
 
 /** Writes the answer of a completion to its caller, token by token or as a whole. */
-abstract class CompletionSink implements AnswerSink {
+abstract class CompletionSink implements ResponseSink {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -29,7 +29,7 @@
         mWriter = writer;
     }
 
-    static AnswerSink of(
+    static ResponseSink of(
             RequestId request, String model, boolean stream, HttpResponseWriter writer) {
         return stream ? new Streamed(request, model, writer) : new Whole(request, model, writer);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
@@ -106,7 +106,8 @@
                 .whenComplete(
                         (done, failure) ->
                                 Optional.ofNullable(failure)
-                                        .ifPresent(gone -> mRequests.callerGone(call.id())));
+                                        .ifPresent(
+                                                gone -> mRequests.callerDisconnected(call.id())));
         mRequests.start(
                 call,
                 CompletionSink.of(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
@@ -122,8 +122,8 @@
     }
 
     private CompletableFuture<HttpResponse> repeatable(RequestId id, Target target) {
-        RepeatableCalls.OpenCall call =
-                new RepeatableCalls.OpenCall(
+        RepeatableCalls.RepeatableCall call =
+                new RepeatableCalls.RepeatableCall(
                         target.service(),
                         target.call(),
                         target.pathAndQuery(),
@@ -167,12 +167,12 @@
     }
 
     private static HttpResponse response(RequestId id, BookingReply reply) {
-        if (reply instanceof BookingReply.Answered answered) {
+        if (reply instanceof BookingReply.Completed answered) {
             return answer(
                     id,
-                    answered.answer().status(),
-                    answered.answer().contentType(),
-                    Bookings.bytes(answered.answer().body()),
+                    answered.response().status(),
+                    answered.response().contentType(),
+                    Bookings.bytes(answered.response().body()),
                     answered.replayed());
         }
         BookingReply.Refused refused = (BookingReply.Refused) reply;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerKeeper.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -14,11 +14,11 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.HostId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
-import org.cyclamenpaddle.core.message.GrantEnd;
 import org.cyclamenpaddle.core.message.GrantRegister;
+import org.cyclamenpaddle.core.message.GrantRelease;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.message.PeerMessage;
@@ -27,7 +27,7 @@
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.metric.RouterMetrics;
-import org.cyclamenpaddle.router.request.GrantSource;
+import org.cyclamenpaddle.router.request.GrantClient;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.grant.LedgerSettings;
 import org.cyclamenpaddle.routing.grant.ObservedAttempt;
@@ -38,7 +38,7 @@
  * <p>A ledger is soft state. When ownership moves, every host registers what it holds with the new
  * owner, which is conservative until it has seen the engine's own list.
  */
-public final class LedgerKeeper implements GrantSource {
+public final class LedgerManager implements GrantClient {
 
     /** Longest wait for another owner's answer, in milliseconds. */
     private static final long ASK_MILLIS = 120;
@@ -65,7 +65,7 @@
      * @param log events
      * @param metrics counts moves of ownership
      */
-    public LedgerKeeper(
+    public LedgerManager(
             Blackboard blackboard,
             HostView hosts,
             PeerLink peers,
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public CompletableFuture<GrantAnswer> ask(GrantAsk ask) {
+    public CompletableFuture<GrantResponse> request(GrantRequest ask) {
         Optional<HostRecord> owner = spec(ask.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
             return CompletableFuture.completedFuture(answer(ask, GrantDecision.UNAVAILABLE));
@@ -89,21 +89,21 @@
         if (isSelf(owner.get())) {
             return CompletableFuture.completedFuture(decide(ask));
         }
-        return mPeers.ask(owner.get(), ask, ASK_MILLIS)
+        return mPeers.request(owner.get(), ask, ASK_MILLIS)
                 .thenApply(
                         answer ->
-                                answer.isRight() && answer.get() instanceof GrantAnswer granted
+                                answer.isRight() && answer.get() instanceof GrantResponse granted
                                         ? granted
                                         : answer(ask, GrantDecision.UNAVAILABLE));
     }
 
     @Override
-    public void end(AttemptId attempt, BackendId backend) {
+    public void release(AttemptId attempt, BackendId backend) {
         spec(backend)
                 .flatMap(mHosts::owner)
                 .ifPresent(
                         owner -> {
-                            GrantEnd end = new GrantEnd(attempt, backend);
+                            GrantRelease end = new GrantRelease(attempt, backend);
                             if (isSelf(owner)) {
                                 onEnd(end);
                             } else {
@@ -113,7 +113,7 @@
     }
 
     /** Decides on an ask, of this host or a peer, by this host's ledger. */
-    public GrantAnswer decide(GrantAsk ask) {
+    public GrantResponse decide(GrantRequest ask) {
         Optional<BackendSpec> spec = spec(ask.backend());
         if (spec.isEmpty() || !mHosts.owns(spec.get())) {
             return answer(ask, GrantDecision.NOT_OWNER);
@@ -124,11 +124,14 @@
         }
         return mBlackboard
                 .grants()
-                .read(ledgers -> ledger(ledgers, spec.get(), role.get()).ask(ask, mClock.millis()));
+                .read(
+                        ledgers ->
+                                ledger(ledgers, spec.get(), role.get())
+                                        .request(ask, mClock.millis()));
     }
 
     /** Takes back room. */
-    public void onEnd(GrantEnd end) {
+    public void onEnd(GrantRelease end) {
         mBlackboard
                 .grants()
                 .write(
@@ -136,7 +139,7 @@
                                 kept(ledgers, end.backend())
                                         .forEach(
                                                 ledger ->
-                                                        ledger.end(
+                                                        ledger.release(
                                                                 end.attempt(), mClock.millis())));
     }
 
@@ -179,7 +182,7 @@
     }
 
     /** Returns how many attempts hold or are promised room, also by a role just left. */
-    public int grants(BackendId backend) {
+    public int grantCount(BackendId backend) {
         return mBlackboard
                 .grants()
                 .read(
@@ -226,7 +229,7 @@
     }
 
     /** Returns the attempts that hold or are promised room in this host's ledgers. */
-    public int heldGrants() {
+    public int totalGrantCount() {
         return mBlackboard
                 .grants()
                 .read(
@@ -287,7 +290,7 @@
                                         .write(
                                                 ledgers ->
                                                         ledger(ledgers, spec, role)
-                                                                .respecify(spec)));
+                                                                .updateSpec(spec)));
     }
 
     /** Registers what this host holds when a ledger has another owner than before. */
@@ -301,7 +304,8 @@
         if (last == null || last.equals(name)) {
             return;
         }
-        List<GrantAsk> held = mBlackboard.requests().read(table -> table.askedOn(backend));
+        List<GrantRequest> held =
+                mBlackboard.requests().read(table -> table.grantsRequestedOn(backend));
         if (held.isEmpty()) {
             return;
         }
@@ -313,7 +317,7 @@
         }
     }
 
-    private void registerHeld(BackendSpec spec, GrantAsk ask) {
+    private void registerHeld(BackendSpec spec, GrantRequest ask) {
         role(spec.id())
                 .ifPresent(
                         role ->
@@ -370,16 +374,16 @@
         return host.incarnation().equals(mHosts.self().incarnation());
     }
 
-    private static GrantAnswer answer(GrantAsk ask, GrantDecision decision) {
-        return new GrantAnswer(ask.attempt(), ask.backend(), decision, 0, 0);
+    private static GrantResponse answer(GrantRequest ask, GrantDecision decision) {
+        return new GrantResponse(ask.attempt(), ask.backend(), decision, 0, 0);
     }
 
     /** Returns the answer to a peer's message about grants, if this is one that takes an answer. */
     public Optional<PeerMessage> onPeerMessage(PeerMessage message) {
-        if (message instanceof GrantAsk ask) {
+        if (message instanceof GrantRequest ask) {
             return Optional.of(decide(ask));
         }
-        if (message instanceof GrantEnd end) {
+        if (message instanceof GrantRelease end) {
             onEnd(end);
         } else if (message instanceof GrantRegister register) {
             onRegister(register);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/PeerLink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/PeerLink.java
@@ -13,6 +13,6 @@
     void send(HostRecord to, PeerMessage message);
 
     /** Sends an ask; the future never fails. */
-    CompletableFuture<Either<PeerError, PeerMessage>> ask(
+    CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorJson.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorJson.java
@@ -59,7 +59,7 @@
         ObjectNode node = MAPPER.createObjectNode();
         node.put("request", explanation.request().value());
         node.set("decisions", array(explanation.decisions(), OperatorJson::decision));
-        node.put("left", explanation.left());
+        node.put("left", explanation.omitted());
         return node;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
@@ -52,7 +52,9 @@
         mSpec = spec;
         mSerial = new SerialExecutor(services.workers());
         mController = new OrderController(services.self(), spec.fencing(), SETTINGS);
-        mDrain = new EngineDrain(mEngine, () -> services.ledgers().grants(mEngine), services.log());
+        mDrain =
+                new EngineDrain(
+                        mEngine, () -> services.ledgers().grantCount(mEngine), services.log());
         mSlots = new SlotHolding(services.slots(), mEngine);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderServices.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.router.backend.BackendClients;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.router.event.EventLog;
-import org.cyclamenpaddle.router.grant.LedgerKeeper;
+import org.cyclamenpaddle.router.grant.LedgerManager;
 import org.cyclamenpaddle.router.worker.Workers;
 
 /**
@@ -24,7 +24,7 @@
 public record OrderServices(
         Incarnation self,
         Blackboard blackboard,
-        LedgerKeeper ledgers,
+        LedgerManager ledgers,
         BackendClients clients,
         FenceStore fences,
         SlotStore slots,
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.cyclamenpaddle.fleet.order.SharedSlots;
 import org.cyclamenpaddle.store.http.PlatformError;
 import org.cyclamenpaddle.store.objects.ObjectStore;
@@ -21,7 +21,7 @@
 
     private final ObjectStore mStore;
     private final Incarnation mSelf;
-    private final Function<Incarnation, Standing> mStanding;
+    private final Function<Incarnation, IncarnationStatus> mStanding;
 
     /**
      * Creates the store.
@@ -31,7 +31,9 @@
      * @param standing what is known of an incarnation
      */
     public SlotStore(
-            ObjectStore store, Incarnation self, Function<Incarnation, Standing> standing) {
+            ObjectStore store,
+            Incarnation self,
+            Function<Incarnation, IncarnationStatus> standing) {
         mStore = store;
         mSelf = self;
         mStanding = standing;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HeartbeatContents.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HeartbeatContents.java
@@ -4,8 +4,8 @@
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.fleet.membership.HeartbeatSource;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
-import org.cyclamenpaddle.router.blackboard.ConfigurationCell;
-import org.cyclamenpaddle.router.grant.LedgerKeeper;
+import org.cyclamenpaddle.router.blackboard.ConfigurationState;
+import org.cyclamenpaddle.router.grant.LedgerManager;
 
 /**
  * What heartbeats tell besides membership, copied before each tick.
@@ -20,9 +20,9 @@
     private volatile Contents mContents = new Contents(0, 0, List.of());
 
     /** Copies the present contents. */
-    public void refresh(Blackboard blackboard, LedgerKeeper ledgers) {
-        long digest = blackboard.configuration().read(ConfigurationCell::digest);
-        long inForce = blackboard.configuration().read(ConfigurationCell::inForceVersion);
+    public void refresh(Blackboard blackboard, LedgerManager ledgers) {
+        long digest = blackboard.configuration().read(ConfigurationState::digest);
+        long inForce = blackboard.configuration().read(ConfigurationState::inForceVersion);
         mContents = new Contents(digest, inForce, ledgers.summaries());
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HostFinder.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/HostDiscovery.java
@@ -19,19 +19,19 @@
  * <p>An address says nothing of the host's life, so each one that no live member has is asked who
  * it is by a new connection.
  */
-public final class HostFinder {
+public final class HostDiscovery {
 
     private static final long HELLO_MILLIS = 500;
 
     private final List<PeerAddress> mSeeds;
     private final HostList mHostList;
     private final MembershipDriver mMembership;
-    private final Greeter mGreeter;
+    private final HelloClient mGreeter;
     private final PlatformHealth mHealth;
 
     /** Asks who answers at an address. */
     @FunctionalInterface
-    public interface Greeter {
+    public interface HelloClient {
 
         /** Completes with the host that answered, or empty; never exceptionally. */
         CompletableFuture<Optional<HostRecord>> hello(String address, int port, long timeoutMillis);
@@ -46,11 +46,11 @@
      * @param greeter asks an address who it is
      * @param health told whether the platform answers
      */
-    public HostFinder(
+    public HostDiscovery(
             List<PeerAddress> seeds,
             HostList hostList,
             MembershipDriver membership,
-            Greeter greeter,
+            HelloClient greeter,
             PlatformHealth health) {
         mSeeds = List.copyOf(seeds);
         mHostList = hostList;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/MembershipDriver.java
@@ -11,16 +11,16 @@
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.HostRecord;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.table.Table;
 import org.cyclamenpaddle.core.table.TableOrder;
 import org.cyclamenpaddle.core.time.Clock;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.cyclamenpaddle.fleet.membership.Membership;
 import org.cyclamenpaddle.fleet.membership.MembershipEffect;
 import org.cyclamenpaddle.fleet.membership.MembershipSettings;
 import org.cyclamenpaddle.fleet.membership.PeerDigest;
-import org.cyclamenpaddle.fleet.membership.Standing;
 import org.cyclamenpaddle.fleet.ownership.Ownership;
 import org.cyclamenpaddle.router.event.EventLog;
 import org.cyclamenpaddle.router.event.LogEvent;
@@ -87,13 +87,13 @@
     }
 
     /** Takes a peer's wish that this host tries to reach another. */
-    public void onProbeAsk(HostRecord asker, ProbeAsk ask) {
-        act(membership -> membership.onProbeAsk(asker, ask, mClock.millis()));
+    public void onProbeRequest(HostRecord asker, ProbeRequest ask) {
+        act(membership -> membership.onProbeRequest(asker, ask, mClock.millis()));
     }
 
     /** Takes what a peer found. */
-    public void onProbeAnswer(ProbeAnswer answer) {
-        act(membership -> membership.onProbeAnswer(answer, mClock.millis()));
+    public void onProbeResponse(ProbeResponse answer) {
+        act(membership -> membership.onProbeResponse(answer, mClock.millis()));
     }
 
     /** Takes hosts that the platform's list or the settings name; a hint only. */
@@ -107,13 +107,14 @@
     }
 
     /** Returns what is known of a life of a host. */
-    public Standing standing(Incarnation incarnation) {
-        return mMembership.read(membership -> membership.standing(incarnation));
+    public IncarnationStatus standing(Incarnation incarnation) {
+        return mMembership.read(membership -> membership.incarnationStatus(incarnation));
     }
 
     /** Returns whether some host's memory was lost within the span that ends now. */
-    public boolean lostLately(long spanMillis) {
-        return mMembership.read(membership -> membership.lostLately(spanMillis, mClock.millis()));
+    public boolean hostLostWithin(long spanMillis) {
+        return mMembership.read(
+                membership -> membership.hostLostWithin(spanMillis, mClock.millis()));
     }
 
     /** Returns every known host, this one included. */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.peer.net.PeerNetwork;
 
 /** The transport over the peer network, which itself needs the controllers that use it. */
-public final class NetworkTransport implements PeerTransport, HostFinder.Greeter {
+public final class NetworkTransport implements PeerTransport, HostDiscovery.HelloClient {
 
     private final Supplier<PeerNetwork> mNetwork;
 
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public CompletableFuture<Either<PeerError, PeerMessage>> ask(
+    public CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis) {
         return mNetwork.get().ask(to, message, timeoutMillis);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerDispatch.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMessageDispatcher.java
@@ -2,31 +2,31 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.cyclamenpaddle.core.message.ClaimAsk;
-import org.cyclamenpaddle.core.message.ConfigurationAnswer;
-import org.cyclamenpaddle.core.message.ConfigurationAsk;
+import org.cyclamenpaddle.core.message.ClaimRequest;
+import org.cyclamenpaddle.core.message.ConfigurationRequest;
+import org.cyclamenpaddle.core.message.ConfigurationResponse;
 import org.cyclamenpaddle.core.message.Heartbeat;
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.cyclamenpaddle.core.message.PeerMessage;
-import org.cyclamenpaddle.core.message.ProbeAnswer;
-import org.cyclamenpaddle.core.message.ProbeAsk;
+import org.cyclamenpaddle.core.message.ProbeRequest;
+import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.message.StrikeNotice;
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.peer.net.PeerListener;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.router.booking.Bookings;
 import org.cyclamenpaddle.router.configuration.ConfigurationDriver;
-import org.cyclamenpaddle.router.grant.LedgerKeeper;
+import org.cyclamenpaddle.router.grant.LedgerManager;
 
 /** Passes each message of a peer to the controller that it is for. */
-public final class PeerDispatch implements PeerListener {
+public final class PeerMessageDispatcher implements PeerListener {
 
     private static final CompletableFuture<Optional<PeerMessage>> NO_ANSWER =
             CompletableFuture.completedFuture(Optional.empty());
 
     private final MembershipDriver mMembership;
     private final ConfigurationDriver mConfiguration;
-    private final LedgerKeeper mLedgers;
+    private final LedgerManager mLedgers;
     private final Bookings mBookings;
     private final Blackboard mBlackboard;
     private final Clock mClock;
@@ -41,10 +41,10 @@
      * @param blackboard hints and strikes
      * @param clock time in milliseconds
      */
-    public PeerDispatch(
+    public PeerMessageDispatcher(
             MembershipDriver membership,
             ConfigurationDriver configuration,
-            LedgerKeeper ledgers,
+            LedgerManager ledgers,
             Bookings bookings,
             Blackboard blackboard,
             Clock clock) {
@@ -61,18 +61,18 @@
             HostRecord from, PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             onHeartbeat(heartbeat);
-        } else if (message instanceof ProbeAsk ask) {
-            mMembership.onProbeAsk(from, ask);
-        } else if (message instanceof ProbeAnswer answer) {
-            mMembership.onProbeAnswer(answer);
-        } else if (message instanceof ConfigurationAsk ask) {
-            return mConfiguration.peerAsk(ask);
-        } else if (message instanceof ConfigurationAnswer pushed) {
-            mConfiguration.peerPush(pushed);
-        } else if (message instanceof ClaimAsk ask) {
-            return mBookings.onClaimAsk(ask).thenApply(Optional::of);
+        } else if (message instanceof ProbeRequest ask) {
+            mMembership.onProbeRequest(from, ask);
+        } else if (message instanceof ProbeResponse answer) {
+            mMembership.onProbeResponse(answer);
+        } else if (message instanceof ConfigurationRequest ask) {
+            return mConfiguration.onPeerRequest(ask);
+        } else if (message instanceof ConfigurationResponse pushed) {
+            mConfiguration.onPeerPush(pushed);
+        } else if (message instanceof ClaimRequest ask) {
+            return mBookings.onClaimRequest(ask).thenApply(Optional::of);
         } else if (message instanceof StrikeNotice notice) {
-            mBlackboard.suspects().write(table -> table.merge(notice, mClock.millis()));
+            mBlackboard.quarantine().write(table -> table.merge(notice, mClock.millis()));
         } else {
             return CompletableFuture.completedFuture(mLedgers.onPeerMessage(message));
         }
@@ -85,6 +85,6 @@
         mBlackboard
                 .backends()
                 .write(table -> heartbeat.ledgers().forEach(hint -> table.hint(hint, now)));
-        mConfiguration.peerDigest(heartbeat.sender(), heartbeat.configurationDigest());
+        mConfiguration.onPeerDigest(heartbeat.sender(), heartbeat.configurationDigest());
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/CountingPeers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 
 /** Counts peer traffic in the metrics. */
-public final class CountingPeers implements PeerCounters {
+public final class PeerMetrics implements PeerCounters {
 
     private final RouterMetrics mMetrics;
     private final EventLog mLog;
@@ -18,7 +18,7 @@
      * @param metrics where traffic is counted
      * @param log where refused frames are told
      */
-    public CountingPeers(RouterMetrics metrics, EventLog log) {
+    public PeerMetrics(RouterMetrics metrics, EventLog log) {
         mMetrics = metrics;
         mLog = log;
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
@@ -107,9 +107,7 @@
 
     /** Returns {@code Retry-After} in whole seconds, rounded up; 0 where waiting does not help. */
     public long retryAfterSeconds() {
-        return refusal.reason().waitingHelps()
-                ? Math.max(1, roundUp(refusal.retryAfterMillis()))
-                : 0;
+        return refusal.reason().retryable() ? Math.max(1, roundUp(refusal.retryAfterMillis())) : 0;
     }
 
     private static long roundUp(long millis) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/LossListener.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/BackendFailureListener.java
@@ -3,11 +3,11 @@
 import org.cyclamenpaddle.core.id.BackendId;
 
 /** Told when a backend server could not be reached, or died while it ran a request. */
-public interface LossListener {
+public interface BackendFailureListener {
 
     /** Ranks the backend server last for a time. */
-    void unreached(BackendId backend, long now);
+    void onUnreachable(BackendId backend, long now);
 
     /** Gives the request with this fingerprint a strike, and tells peers. */
-    void died(BackendId backend, long fingerprint, long now);
+    void onCrash(BackendId backend, long fingerprint, long now);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/DomainDistances.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/DomainLatencies.java
@@ -4,8 +4,8 @@
 
 /** Tells the one-way time between failure domains. */
 @FunctionalInterface
-public interface DomainDistances {
+public interface DomainLatencies {
 
     /** Returns the time in milliseconds. */
-    long millis(FailureDomain from, FailureDomain to);
+    long oneWayMillis(FailureDomain from, FailureDomain to);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantSource.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/GrantClient.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.CompletableFuture;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 
 /** Where room on backend servers is asked for: the owner's ledger, on this host or another. */
-public interface GrantSource {
+public interface GrantClient {
 
     /** Asks for room; an owner that can't be reached answers {@code UNAVAILABLE}. */
-    CompletableFuture<GrantAnswer> ask(GrantAsk ask);
+    CompletableFuture<GrantResponse> request(GrantRequest ask);
 
     /** Gives room back; idempotent. */
-    void end(AttemptId attempt, BackendId backend);
+    void release(AttemptId attempt, BackendId backend);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -15,13 +15,13 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.router.blackboard.Blackboard;
 import org.cyclamenpaddle.routing.admission.Admission;
-import org.cyclamenpaddle.routing.admission.GrantAsks;
+import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.placement.BackendView;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.CostFactors;
@@ -45,9 +45,9 @@
     private final Admission mAdmission;
     private final RetryBudget mRetries;
     private final PrefixHints mPrefixes;
-    private final Learning mLearning;
-    private final DomainDistances mDistances;
-    private final LossListener mLosses;
+    private final RequestAccounting mLearning;
+    private final DomainLatencies mDistances;
+    private final BackendFailureListener mLosses;
     private final UniformRandomProvider mRandom;
     private final AtomicLong mAttempts = new AtomicLong();
     private final AtomicLong mTurns = new AtomicLong();
@@ -66,8 +66,8 @@
             Incarnation self,
             FailureDomain domain,
             Blackboard blackboard,
-            Decisions decisions,
-            LossListener losses,
+            RequestPolicies decisions,
+            BackendFailureListener losses,
             UniformRandomProvider random) {
         mSelf = self;
         mDomain = domain;
@@ -76,8 +76,8 @@
         mAdmission = decisions.admission();
         mRetries = decisions.retries();
         mPrefixes = decisions.prefixes();
-        mLearning = decisions.learning();
-        mDistances = decisions.distances();
+        mLearning = decisions.accounting();
+        mDistances = decisions.latencies();
         mLosses = losses;
         mRandom = random;
     }
@@ -96,7 +96,7 @@
     public Optional<Refusal> admit(RequestShape shape, long now) {
         Optional<Long> quarantined =
                 mBlackboard
-                        .suspects()
+                        .quarantine()
                         .read(table -> table.quarantinedMillis(shape.fingerprint(), now));
         if (quarantined.isPresent()) {
             return quarantined.map(
@@ -107,7 +107,7 @@
             return overLimit;
         }
         synchronized (mRetries) {
-            mRetries.freshRequest(shape.service(), now);
+            mRetries.recordRequest(shape.service(), now);
         }
         mTurns.incrementAndGet();
         if (!usesGrants()) {
@@ -145,14 +145,14 @@
     }
 
     @Override
-    public GrantAsk prefillAsk(
+    public GrantRequest prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft) {
-        return GrantAsks.DEFAULTS.prefill(
+        return GrantRequestFactory.DEFAULTS.prefill(
                 attempt, request(shape, generated, millisLeft), candidate(choice), millisLeft);
     }
 
     @Override
-    public GrantAsk decodeAsk(
+    public GrantRequest decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
@@ -166,27 +166,27 @@
         BackendSpec source = backends.get(prefill);
         if (decode == null || source == null) {
             // Deleted since it was ranked; its owner will refuse.
-            return GrantAsks.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
+            return GrantRequestFactory.DEFAULTS.prefill(attempt, request, candidate(choice), 0);
         }
-        return GrantAsks.DEFAULTS.decode(
+        return GrantRequestFactory.DEFAULTS.decode(
                 attempt, request, decode, source, prefillEndInMillis, millisLeft);
     }
 
     @Override
-    public boolean mayRetry(RequestShape shape, RetryReason reason, long now) {
+    public boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now) {
         synchronized (mRetries) {
-            return mRetries.tryTake(shape.service(), now);
+            return mRetries.tryAcquire(shape.service(), now);
         }
     }
 
     @Override
-    public void backendUnreached(BackendId backend, long now) {
-        mLosses.unreached(backend, now);
+    public void backendUnreachable(BackendId backend, long now) {
+        mLosses.onUnreachable(backend, now);
     }
 
     @Override
-    public void backendDied(RequestShape shape, BackendId backend, long now) {
-        mLosses.died(backend, shape.fingerprint(), now);
+    public void backendCrashed(RequestShape shape, BackendId backend, long now) {
+        mLosses.onCrash(backend, shape.fingerprint(), now);
     }
 
     private Either<Refusal, List<Choice>> choices(
@@ -211,7 +211,7 @@
 
     private Refusal noChoice(RequestShape shape, long now) {
         return mBlackboard
-                .suspects()
+                .quarantine()
                 .read(table -> table.quarantinedMillis(shape.fingerprint(), now))
                 .map(millis -> new Refusal(RefusalReason.QUARANTINED, "", Math.max(1, millis)))
                 .orElseGet(
@@ -222,7 +222,7 @@
     }
 
     private PlacementRequest request(RequestShape shape, int generated, long millisLeft) {
-        int expected = mLearning.tokens(shape);
+        int expected = mLearning.expectedTokens(shape);
         long tokens = shape.promptTokens() + (long) generated + expected;
         return new PlacementRequest(
                 shape.service(),
@@ -262,13 +262,13 @@
                                                         new BackendView(
                                                                 spec,
                                                                 table.hint(spec.id()),
-                                                                table.hintAge(spec.id(), now),
+                                                                table.hintAgeMillis(spec.id(), now),
                                                                 table.inFlight(spec.id()),
                                                                 excluded.contains(spec.id())
                                                                         || !mayRun(
                                                                                 shape, spec, now),
                                                                 table.suspected(spec.id(), now),
-                                                                mDistances.millis(
+                                                                mDistances.oneWayMillis(
                                                                         mDomain,
                                                                         spec.failureDomain())))
                                         .collect(Collectors.toList()));
@@ -276,7 +276,7 @@
 
     private boolean mayRun(RequestShape shape, BackendSpec spec, long now) {
         return mBlackboard
-                .suspects()
+                .quarantine()
                 .read(
                         table ->
                                 table.mayRun(shape.fingerprint(), spec.id(), now)
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ModelRequests.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ModelRequests.java
@@ -19,7 +19,7 @@
     private final RequestEnvironment mEnvironment;
     private final RequestSettings mSettings;
     private final StepRecorder mRecorder;
-    private final Learning mLearning;
+    private final RequestAccounting mLearning;
     private final Map<RequestId, RequestRun> mRuns = new ConcurrentHashMap<>();
 
     /**
@@ -48,7 +48,7 @@
             RequestEnvironment environment,
             RequestSettings settings,
             StepRecorder recorder,
-            Learning learning) {
+            RequestAccounting learning) {
         mServices = services;
         mEnvironment = environment;
         mSettings = settings;
@@ -57,7 +57,7 @@
     }
 
     /** Starts a request; its answer goes to the sink. */
-    public void start(Call call, AnswerSink sink) {
+    public void start(Call call, ResponseSink sink) {
         RequestShape shape = shape(call);
         RequestJournal journal =
                 new RequestJournal(
@@ -75,12 +75,12 @@
                         journal,
                         new ReleasingSink(shape, sink));
         mRuns.put(call.id(), run);
-        mServices.blackboard().requests().write(table -> table.requests(1));
+        mServices.blackboard().requests().write(table -> table.changeInFlight(1));
         run.start();
     }
 
     /** Tells a request that its caller has gone; unknown and ended requests are left alone. */
-    public void callerGone(RequestId id) {
+    public void callerDisconnected(RequestId id) {
         RequestRun run = mRuns.get(id);
         if (run != null) {
             run.callerGone();
@@ -103,12 +103,12 @@
     }
 
     /** Forgets the run when it ends. */
-    private final class ReleasingSink implements AnswerSink {
+    private final class ReleasingSink implements ResponseSink {
 
         private final RequestShape mShape;
-        private final AnswerSink mSink;
+        private final ResponseSink mSink;
 
-        ReleasingSink(RequestShape shape, AnswerSink sink) {
+        ReleasingSink(RequestShape shape, ResponseSink sink) {
             mShape = shape;
             mSink = sink;
         }
@@ -134,7 +134,7 @@
         private void release() {
             mRuns.remove(mShape.id());
             mLearning.end(mShape.id());
-            mServices.blackboard().requests().write(table -> table.requests(-1));
+            mServices.blackboard().requests().write(table -> table.changeInFlight(-1));
         }
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/PrefixLearner.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/PrefixCacheListener.java
@@ -5,8 +5,8 @@
 
 /** Learns that an engine has just computed, and so cached, the blocks of a prompt. */
 @FunctionalInterface
-public interface PrefixLearner {
+public interface PrefixCacheListener {
 
     /** Takes the chained hashes of the prompt's whole blocks. */
-    void learned(BackendId backend, List<Long> blockHashes);
+    void onPrefilled(BackendId backend, List<Long> blockHashes);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/Learning.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestAccounting.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.routing.request.RequestShape;
 
 /** What this host learns from its requests and holds against new ones; safe for many threads. */
-public final class Learning {
+public final class RequestAccounting {
 
     private final OutputLengthEstimator mLengths;
     private final ConcurrencyLimit mLimit;
@@ -21,14 +21,15 @@
      * @param limit bounds requests in progress; reached only through this object
      * @param fallbackTokens most tokens expected of an answer of which nothing is known
      */
-    public Learning(OutputLengthEstimator lengths, ConcurrencyLimit limit, int fallbackTokens) {
+    public RequestAccounting(
+            OutputLengthEstimator lengths, ConcurrencyLimit limit, int fallbackTokens) {
         mLengths = lengths;
         mLimit = limit;
         mFallbackTokens = fallbackTokens;
     }
 
     /** Returns the expected tokens of an answer, at most those that the caller allowed. */
-    public synchronized int tokens(RequestShape shape) {
+    public synchronized int expectedTokens(RequestShape shape) {
         int most = Math.min(shape.maxTokens(), mFallbackTokens);
         int learned = mLengths.expectedTokens(shape.service(), shape.team(), shape.maxTokens());
         return learned == shape.maxTokens() ? most : learned;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
@@ -4,8 +4,8 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.RequestId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.engine.model.EngineFailure;
@@ -43,7 +43,7 @@
         mMetrics.requestTaken(service.name());
     }
 
-    void asked(GrantAsk ask) {
+    void asked(GrantRequest ask) {
         record(
                 DecisionStep.GRANT_ASKED,
                 ask.role().code()
@@ -60,7 +60,7 @@
                         + " pieces");
     }
 
-    void granted(GrantAnswer answer) {
+    void granted(GrantResponse answer) {
         record(
                 DecisionStep.GRANT_ANSWERED,
                 answer.decision()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/Decisions.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestPolicies.java
@@ -12,13 +12,13 @@
  * @param admission whether a request is taken at all
  * @param retries budget of retries, locked by its own monitor
  * @param prefixes hints of cached prefixes
- * @param learning expected lengths and limits
- * @param distances times between failure domains
+ * @param accounting expected lengths and limits
+ * @param latencies times between failure domains
  */
-public record Decisions(
+public record RequestPolicies(
         PlacementPolicy policy,
         Admission admission,
         RetryBudget retries,
         PrefixHints prefixes,
-        Learning learning,
-        DomainDistances distances) {}
+        RequestAccounting accounting,
+        DomainLatencies latencies) {}
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -39,7 +39,7 @@
     private final RequestServices mServices;
     private final RequestMachine mMachine;
     private final RequestJournal mJournal;
-    private final AnswerSink mSink;
+    private final ResponseSink mSink;
     private final SerialExecutor mSerial;
     private final Set<AttemptId> mOpened = new HashSet<>();
     private Optional<ScheduledFuture<?>> mTimer = Optional.empty();
@@ -51,7 +51,7 @@
             RequestServices services,
             RequestMachine machine,
             RequestJournal journal,
-            AnswerSink sink) {
+            ResponseSink sink) {
         mShape = shape;
         mPrompt = prompt;
         mServices = services;
@@ -66,7 +66,7 @@
     }
 
     void callerGone() {
-        feed(mMachine::onCallerGone);
+        feed(mMachine::onCallerDisconnected);
     }
 
     private void feed(LongFunction<List<RequestEffect>> event) {
@@ -81,23 +81,23 @@
     }
 
     @Override
-    public void askGrant(RequestEffect.AskGrant effect) {
-        mJournal.asked(effect.ask());
-        mServices.blackboard().requests().write(table -> table.asked(effect.ask()));
+    public void requestGrant(RequestEffect.RequestGrant effect) {
+        mJournal.asked(effect.request());
+        mServices.blackboard().requests().write(table -> table.grantRequested(effect.request()));
         mServices
                 .grants()
-                .ask(effect.ask())
+                .request(effect.request())
                 .thenAccept(
                         answer -> {
                             mJournal.granted(answer);
-                            feed(now -> mMachine.onGrantAnswer(answer, now));
+                            feed(now -> mMachine.onGrantResponse(answer, now));
                         });
     }
 
     @Override
-    public void endGrant(RequestEffect.EndGrant effect) {
-        mServices.blackboard().requests().write(table -> table.released(effect.attempt()));
-        mServices.grants().end(effect.attempt(), effect.backend());
+    public void releaseGrant(RequestEffect.ReleaseGrant effect) {
+        mServices.blackboard().requests().write(table -> table.grantReleased(effect.attempt()));
+        mServices.grants().release(effect.attempt(), effect.backend());
     }
 
     @Override
@@ -126,7 +126,7 @@
         int computed = Math.max(0, result.tokens() - result.cachedTokens());
         mJournal.prefilled(effect.attempt(), result);
         mServices.metrics().prefillComputed(mShape.service(), computed);
-        mServices.prefixes().learned(effect.backend(), mShape.blockHashes());
+        mServices.prefixes().onPrefilled(effect.backend(), mShape.blockHashes());
         feed(now -> mMachine.onPrefillDone(effect.attempt(), computed, result.resultMillis(), now));
     }
 
@@ -216,7 +216,7 @@
                 Optional.of(
                         mServices
                                 .workers()
-                                .after(
+                                .schedule(
                                         effect.delayMillis(),
                                         () ->
                                                 feed(
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void countWaste(RequestEffect.CountWaste effect) {
+    public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
         mServices.metrics().prefillWasted(mShape.service(), effect.tokens());
     }
 
@@ -244,7 +244,7 @@
         mServices.blackboard().requests().write(table -> table.started(attempt, backend));
         mServices
                 .blackboard()
-                .suspects()
+                .quarantine()
                 .write(table -> table.started(mShape.fingerprint(), backend));
     }
 
@@ -260,7 +260,7 @@
         mServices.blackboard().backends().write(table -> table.inFlight(backend, -1));
         mServices
                 .blackboard()
-                .suspects()
+                .quarantine()
                 .write(table -> table.ended(mShape.fingerprint(), backend));
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestServices.java
@@ -25,6 +25,6 @@
         Blackboard blackboard,
         BackendClients clients,
         Canceller canceller,
-        GrantSource grants,
-        PrefixLearner prefixes,
+        GrantClient grants,
+        PrefixCacheListener prefixes,
         RouterMetrics metrics) {}
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/AnswerSink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/ResponseSink.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 
 /** Where the answer of a model request goes; called by one thread at a time. */
-public interface AnswerSink {
+public interface ResponseSink {
 
     /** Takes the next token. */
     void token(int index, String text);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/Workers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/worker/Workers.java
@@ -65,12 +65,12 @@
     }
 
     /** Runs work once after a delay in milliseconds. */
-    public ScheduledFuture<?> after(long delayMillis, Runnable work) {
+    public ScheduledFuture<?> schedule(long delayMillis, Runnable work) {
         return mPool.schedule(guarded(work), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Runs work again and again, with a pause in milliseconds between runs. */
-    public ScheduledFuture<?> every(long periodMillis, Runnable work) {
+    public ScheduledFuture<?> scheduleWithFixedDelay(long periodMillis, Runnable work) {
         return mPool.scheduleWithFixedDelay(
                 guarded(work), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/explain/DecisionLogTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/explain/DecisionLogTest.java
@@ -27,7 +27,7 @@
                 List.of(
                         new Decision(0, DecisionStep.ADMITTED, "first token in 310 ms"),
                         new Decision(40, DecisionStep.PLACED, "prefill p1, decode d1")));
-        assertEquals(explanation.left(), 0);
+        assertEquals(explanation.omitted(), 0);
     }
 
     @Test
@@ -54,6 +54,6 @@
 
         Explanation explanation = log.explain(request).orElseThrow();
         assertEquals(explanation.decisions().size(), 3);
-        assertEquals(explanation.left(), 2);
+        assertEquals(explanation.omitted(), 2);
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerDisconnectTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** No engine memory stays held for a caller who has gone. */
-public class CallerGoneTest {
+public class CallerDisconnectTest {
 
     private static final int LONG_ANSWER = 4_000;
     private static final String PROMPT = "Lot quality sheet, moisture 11.8, protein 10.4. ";
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
@@ -11,7 +11,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
-import org.cyclamenpaddle.fleet.membership.Standing;
+import org.cyclamenpaddle.fleet.membership.IncarnationStatus;
 import org.cyclamenpaddle.fleet.order.SharedSlots;
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.standins.platform.Outage;
@@ -52,15 +52,15 @@
     // up a third host; both are had once the other host's life has ended.
     @Test
     public void allOrNoneAndNoneOfDeadHost() {
-        assertTrue(slots("h2", Standing.RUNNING).acquire(SECOND, OTHER, 1).join());
-        SlotHolding holding = new SlotHolding(slots("h1", Standing.RUNNING), ENGINE);
+        assertTrue(slots("h2", IncarnationStatus.RUNNING).acquire(SECOND, OTHER, 1).join());
+        SlotHolding holding = new SlotHolding(slots("h1", IncarnationStatus.RUNNING), ENGINE);
 
         assertFalse(holding.acquire(BOTH).join());
         holding.release();
         Await.until("the first slot is free", () -> holders(FIRST) == 0);
         assertEquals(holders(SECOND), 1);
 
-        SlotHolding later = new SlotHolding(slots("h1", Standing.ENDED), ENGINE);
+        SlotHolding later = new SlotHolding(slots("h1", IncarnationStatus.ENDED), ENGINE);
         assertTrue(later.acquire(BOTH).join());
         assertEquals(holders(SECOND), 1);
     }
@@ -69,11 +69,11 @@
     // It goes on trying: when the platform is back, the slot becomes free.
     @Test
     public void slotIsGivenBackAfterOutage() {
-        SlotHolding holding = new SlotHolding(slots("h1", Standing.RUNNING), ENGINE);
+        SlotHolding holding = new SlotHolding(slots("h1", IncarnationStatus.RUNNING), ENGINE);
         assertTrue(holding.acquire(BOTH).join());
         mPlatform.outage(Outage.REFUSE);
         holding.giveUp();
-        assertFalse(slots("h1", Standing.RUNNING).release(FIRST, ENGINE).join());
+        assertFalse(slots("h1", IncarnationStatus.RUNNING).release(FIRST, ENGINE).join());
 
         mPlatform.outage(Outage.NONE);
 
@@ -85,10 +85,12 @@
                 });
     }
 
-    private SlotStore slots(String host, Standing standingOfOthers) {
+    private SlotStore slots(String host, IncarnationStatus standingOfOthers) {
         Incarnation self = new Incarnation(new HostId(host), 1);
         return new SlotStore(
-                mStore, self, one -> one.equals(self) ? Standing.RUNNING : standingOfOthers);
+                mStore,
+                self,
+                one -> one.equals(self) ? IncarnationStatus.RUNNING : standingOfOthers);
     }
 
     private int holders(String path) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
@@ -93,7 +93,7 @@
                 DocPage.code(reason.code()),
                 Integer.toString(reason.status()),
                 reason.outcome().code(),
-                reason.waitingHelps() ? "yes" : "no",
+                reason.retryable() ? "yes" : "no",
                 reason.title());
     }
 }
--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -15,8 +15,8 @@
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantResponse;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.grant.LedgerSettings;
@@ -66,7 +66,7 @@
             BackendSpec spec = spec(i);
             GrantLedger ledger = new GrantLedger(spec, BackendRole.DECODE, LedgerSettings.DEFAULTS);
             for (int held = 0; held < SLOTS * 3 / 2; held++) {
-                ledger.ask(ask(spec.id(), 20_000), -mRandom.nextInt((int) HOLD_MILLIS));
+                ledger.request(ask(spec.id(), 20_000), -mRandom.nextInt((int) HOLD_MILLIS));
             }
             mLedgers.add(ledger);
             LedgerSummary hint = ledger.summary(0);
@@ -95,17 +95,17 @@
 
     /** Asks the next ledger in turn, and gives back what it granted. */
     @Benchmark
-    public GrantAnswer ask() {
+    public GrantResponse ask() {
         int turn = (int) (mNumber % mRunners);
-        GrantAsk ask = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
-        GrantAnswer answer = mLedgers.get(turn).ask(ask, 0);
-        mLedgers.get(turn).end(ask.attempt(), -1);
+        GrantRequest ask = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
+        GrantResponse answer = mLedgers.get(turn).request(ask, 0);
+        mLedgers.get(turn).release(ask.attempt(), -1);
         return answer;
     }
 
-    private GrantAsk ask(BackendId backend, long latestMillis) {
+    private GrantRequest ask(BackendId backend, long latestMillis) {
         AttemptId attempt = AttemptId.of(HOST, mNumber++);
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt, backend, BackendRole.DECODE, 100, 1, 0, 100, latestMillis, HOLD_MILLIS);
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantAsks.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/admission/GrantRequestFactory.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.core.config.BackendRole;
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
@@ -21,12 +21,12 @@
  * @param workMarginMillis time kept back for prefill and transfer that take longer
  * @param slotMarginMillis time kept back for slots that come late
  */
-public record GrantAsks(long workMarginMillis, long slotMarginMillis) {
+public record GrantRequestFactory(long workMarginMillis, long slotMarginMillis) {
 
     /** Margins of a few round trips between hosts. */
-    public static final GrantAsks DEFAULTS = new GrantAsks(30, 80);
+    public static final GrantRequestFactory DEFAULTS = new GrantRequestFactory(30, 80);
 
-    public GrantAsks {
+    public GrantRequestFactory {
         if (workMarginMillis < 0 || slotMarginMillis < workMarginMillis) {
             throw new IllegalArgumentException(
                     "margins are contradictory: work "
@@ -45,9 +45,9 @@
      * @param candidate the prefill server, as ranked
      * @param millisLeft time left until the first token is due
      */
-    public GrantAsk prefill(
+    public GrantRequest prefill(
             AttemptId attempt, PlacementRequest request, Candidate candidate, long millisLeft) {
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt,
                 candidate.backend(),
                 BackendRole.PREFILL,
@@ -73,7 +73,7 @@
      *     if the result is there already
      * @param millisLeft time left until the first token is due
      */
-    public GrantAsk decode(
+    public GrantRequest decode(
             AttemptId attempt,
             PlacementRequest request,
             BackendSpec server,
@@ -85,7 +85,7 @@
         long last = millisLeft - transfer - server.tokenMillis();
         long onTime = Math.min(needed, last - workMarginMillis);
         long latest = Math.max(last - slotMarginMillis, onTime);
-        return new GrantAsk(
+        return new GrantRequest(
                 attempt,
                 server.id(),
                 BackendRole.DECODE,
@@ -106,10 +106,10 @@
      * @param server another decode server
      * @param prefill the prefill server, whose link carries the transfer
      */
-    public GrantAsk decodeNow(
+    public GrantRequest decodeNow(
             AttemptId attempt, PlacementRequest request, BackendSpec server, BackendSpec prefill) {
-        GrantAsk ask = decode(attempt, request, server, prefill, 0, 0);
-        return new GrantAsk(
+        GrantRequest ask = decode(attempt, request, server, prefill, 0, 0);
+        return new GrantRequest(
                 attempt,
                 ask.backend(),
                 ask.role(),
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenPace.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
@@ -9,7 +9,7 @@
  *
  * <p>A straight line, fitted by least squares with old samples fading out. Not thread-safe.
  */
-public final class TokenPace {
+public final class TokenIntervalModel {
 
     private static final double FADING = 0.995;
     private static final double ENOUGH = 20;
@@ -71,7 +71,7 @@
      * @param targetMillis target for the time between tokens, in milliseconds
      * @param slots slots of the engine
      */
-    public int mostWithin(BackendId backend, long targetMillis, int slots) {
+    public int maxBatchWithin(BackendId backend, long targetMillis, int slots) {
         Fit fit = mFits.get(backend);
         if (fit == null || fit.mWeight < ENOUGH || fit.slope() == 0) {
             return slots;
@@ -84,7 +84,7 @@
     }
 
     /** Forgets an engine, such as one that has another model. */
-    public void forget(BackendId backend) {
+    public void remove(BackendId backend) {
         mFits.remove(backend);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Cluster.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Cluster.java
@@ -14,7 +14,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.message.LedgerSummary;
-import org.cyclamenpaddle.routing.expect.TokenPace;
+import org.cyclamenpaddle.routing.expect.TokenIntervalModel;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.placement.BackendView;
 import org.cyclamenpaddle.routing.placement.CacheEvent;
@@ -44,7 +44,7 @@
     private final Map<BackendId, Long> mSequences = new HashMap<>();
     private final PrefixIndex mPrefixes = new PrefixIndex(INDEX_BLOCKS);
 
-    private final TokenPace mPace = new TokenPace();
+    private final TokenIntervalModel mPace = new TokenIntervalModel();
 
     private Map<BackendId, LedgerSummary> mHints = Map.of();
     private long mHintsAt;
@@ -95,7 +95,7 @@
         return new PlacementView(prefill, decode, mPrefixes, CostFactors.NEUTRAL, turn);
     }
 
-    TokenPace pace() {
+    TokenIntervalModel pace() {
         return mPace;
     }
 
@@ -183,7 +183,7 @@
     }
 
     private int mostSlots(BackendId id) {
-        return mPace.mostWithin(id, Scenario.PER_TOKEN_MILLIS, Scenario.SLOTS);
+        return mPace.maxBatchWithin(id, Scenario.PER_TOKEN_MILLIS, Scenario.SLOTS);
     }
 
     private void cached(BackendId id, List<Long> hashes) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PlacementExperiment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/PlacementExperiment.java
@@ -25,7 +25,7 @@
                     "60",
                     "500",
                     "false",
-                    String.valueOf(LedgerSettings.DEFAULTS.deviations()));
+                    String.valueOf(LedgerSettings.DEFAULTS.safetyDeviations()));
 
     private PlacementExperiment() {}
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
@@ -6,11 +6,11 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.admission.Admitted;
-import org.cyclamenpaddle.routing.admission.GrantAsks;
+import org.cyclamenpaddle.routing.admission.GrantRequestFactory;
 import org.cyclamenpaddle.routing.grant.GrantLedger;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
@@ -21,7 +21,7 @@
     private static final int MOST_ASKS = 4;
     private static final int MOST_MOVES = 4;
     private static final long RETRY_MILLIS = 10;
-    private static final GrantAsks ASKS = GrantAsks.DEFAULTS;
+    private static final GrantRequestFactory ASKS = GrantRequestFactory.DEFAULTS;
 
     private final ExperimentRun mRun;
     private final Workload.Request mRequest;
@@ -80,7 +80,7 @@
             return;
         }
         Candidate candidate = order.get(index);
-        GrantAsk ask = ASKS.prefill(mAttempt, mPlacement, candidate, left());
+        GrantRequest ask = ASKS.prefill(mAttempt, mPlacement, candidate, left());
         ask(
                 ask,
                 answer -> {
@@ -99,7 +99,7 @@
             return;
         }
         BackendId server = mDecodeOrder.get(index).backend();
-        GrantAsk ask = decodeAsk(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
+        GrantRequest ask = decodeAsk(server, mPrefillServer.orElseThrow(), prefillEndInMillis);
         ask(
                 ask,
                 answer -> {
@@ -112,7 +112,7 @@
                 });
     }
 
-    private GrantAsk decodeAsk(BackendId server, BackendId prefill, long prefillEndInMillis) {
+    private GrantRequest decodeAsk(BackendId server, BackendId prefill, long prefillEndInMillis) {
         return ASKS.decode(
                 mAttempt,
                 mPlacement,
@@ -122,7 +122,7 @@
                 left());
     }
 
-    private GrantAsk decodeNowAsk(BackendId server) {
+    private GrantRequest decodeNowAsk(BackendId server) {
         return ASKS.decodeNow(
                 mAttempt,
                 mPlacement,
@@ -130,12 +130,13 @@
                 mRun.cluster().prefill(mPrefillServer.orElseThrow()).spec());
     }
 
-    private void ask(GrantAsk ask, Consumer<GrantAnswer> then) {
+    private void ask(GrantRequest ask, Consumer<GrantResponse> then) {
         EventLoop loop = mRun.loop();
         loop.after(
                 Scenario.HOP_MILLIS,
                 () -> {
-                    GrantAnswer answer = mRun.cluster().ledger(ask.backend()).ask(ask, loop.now());
+                    GrantResponse answer =
+                            mRun.cluster().ledger(ask.backend()).request(ask, loop.now());
                     loop.after(
                             Scenario.HOP_MILLIS,
                             () -> {
@@ -149,9 +150,9 @@
     private boolean reserveShare(Candidate prefill) {
         for (Candidate candidate : mDecodeOrder) {
             GrantLedger share = mRun.cluster().share(mHost, candidate.backend()).orElseThrow();
-            GrantAsk ask =
+            GrantRequest ask =
                     decodeAsk(candidate.backend(), prefill.backend(), prefill.predictedMillis());
-            if (share.ask(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
+            if (share.request(ask, mRun.loop().now()).decision() == GrantDecision.GRANTED) {
                 mDecodeServer = Optional.of(candidate.backend());
                 return true;
             }
@@ -309,13 +310,13 @@
         } else if (mRun.strategy().reservesDecode()) {
             mDecodeServer
                     .flatMap(server -> mRun.cluster().share(mHost, server))
-                    .ifPresent(share -> share.end(mAttempt, mRun.loop().now()));
+                    .ifPresent(share -> share.release(mAttempt, mRun.loop().now()));
         }
     }
 
     private void end(GrantLedger ledger) {
         EventLoop loop = mRun.loop();
-        loop.after(Scenario.HOP_MILLIS, () -> ledger.end(mAttempt, loop.now()));
+        loop.after(Scenario.HOP_MILLIS, () -> ledger.release(mAttempt, loop.now()));
     }
 
     private long left() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Scenario.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/Scenario.java
@@ -12,7 +12,7 @@
  * @param seconds virtual time with arrivals
  * @param hintMillis time between two hints from a server
  * @param steep whether the full batch is too slow for the per-token target
- * @param deviations see {@link LedgerSettings#deviations()}
+ * @param deviations see {@link LedgerSettings#safetyDeviations()}
  */
 record Scenario(
         Strategy strategy,
@@ -46,7 +46,7 @@
                 deviations,
                 usual.unknownHoldMillis(),
                 usual.recoveryReserve(),
-                usual.endedKept());
+                usual.maxEndedAttempts());
     }
 
     /** Time between tokens at the full batch. */
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -11,9 +11,9 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -65,7 +65,7 @@
      * @param ask an ask for this backend server
      * @param nowMillis reading of the clock
      */
-    public GrantAnswer ask(GrantAsk ask, long nowMillis) {
+    public GrantResponse request(GrantRequest ask, long nowMillis) {
         requireOwn(ask);
         Reservation held = mHeld.get(ask.attempt());
         if (held != null) {
@@ -79,7 +79,7 @@
             return unavailable(ask, mRecoverUntil - nowMillis);
         }
         if (mSpec.memoryPieces() > 0 && ask.pieces() > mSpec.memoryPieces()) {
-            return new GrantAnswer(ask.attempt(), ask.backend(), GrantDecision.TOO_BIG, 0, 0);
+            return new GrantResponse(ask.attempt(), ask.backend(), GrantDecision.TOO_BIG, 0, 0);
         }
         Interval span = mPlan.preview(ask, mHeld.values(), reservedSlots(nowMillis), nowMillis);
         if (mPlan.tooLate(ask, span, nowMillis)) {
@@ -97,14 +97,14 @@
      * @param attempt the attempt
      * @param nowMillis reading of the clock
      */
-    public void end(AttemptId attempt, long nowMillis) {
+    public void release(AttemptId attempt, long nowMillis) {
         Reservation held = mHeld.get(attempt);
         if (held != null && held.begun(nowMillis)) {
             mPlan.ended(held, nowMillis);
         }
-        release(attempt);
+        remove(attempt);
         mEnded.add(attempt);
-        if (mEnded.size() > mSettings.endedKept()) {
+        if (mEnded.size() > mSettings.maxEndedAttempts()) {
             mEnded.remove(mEnded.iterator().next());
         }
     }
@@ -117,14 +117,14 @@
      * @param held the peer's ask, with {@code neededInMillis} 0 if the attempt runs already
      * @param nowMillis reading of the clock
      */
-    public void register(GrantAsk held, long nowMillis) {
+    public void register(GrantRequest held, long nowMillis) {
         requireOwn(held);
         boolean known = mHeld.containsKey(held.attempt());
         if (mEnded.contains(held.attempt()) || mRole != held.role()) {
             return;
         }
         boolean seen = known && mHeld.get(held.attempt()).seen();
-        release(held.attempt());
+        remove(held.attempt());
         long start = nowMillis + Math.max(0, held.neededInMillis());
         hold(held, new Interval(start, start + held.holdMillis()), seen);
     }
@@ -155,7 +155,7 @@
                         .filter(held -> held.seen() || neverStarted(held, nowMillis))
                         .map(Reservation::attempt)
                         .toList();
-        gone.forEach(this::release);
+        gone.forEach(this::remove);
         running.values().forEach(seen -> count(seen, nowMillis));
         mObserved = true;
     }
@@ -192,7 +192,7 @@
      *
      * @param spec the declaration; other rates than before need a new ledger
      */
-    public void respecify(BackendSpec spec) {
+    public void updateSpec(BackendSpec spec) {
         Invariants.require(
                 spec.id().equals(mSpec.id()),
                 () -> "ledger of " + mSpec.id() + " got " + spec.id());
@@ -232,7 +232,7 @@
         return Set.copyOf(mHeld.keySet());
     }
 
-    private void hold(GrantAsk ask, Interval span, boolean seen) {
+    private void hold(GrantRequest ask, Interval span, boolean seen) {
         Reservation reservation =
                 new Reservation(
                         ask.attempt(), ask.pieces(), span.startMillis(), span.endMillis(), seen);
@@ -240,7 +240,7 @@
         mHeld.put(ask.attempt(), reservation);
     }
 
-    private void release(AttemptId attempt) {
+    private void remove(AttemptId attempt) {
         mPlan.release(attempt);
         mHeld.remove(attempt);
     }
@@ -278,14 +278,14 @@
         return (int) Math.ceil(mSpec.slots() * mSettings.recoveryReserve());
     }
 
-    private GrantAnswer unavailable(GrantAsk ask, long startInMillis) {
-        return new GrantAnswer(
+    private GrantResponse unavailable(GrantRequest ask, long startInMillis) {
+        return new GrantResponse(
                 ask.attempt(), ask.backend(), GrantDecision.UNAVAILABLE, startInMillis, 0);
     }
 
-    private GrantAnswer answer(
-            GrantAsk ask, GrantDecision decision, Interval span, long nowMillis) {
-        return new GrantAnswer(
+    private GrantResponse answer(
+            GrantRequest ask, GrantDecision decision, Interval span, long nowMillis) {
+        return new GrantResponse(
                 ask.attempt(),
                 ask.backend(),
                 decision,
@@ -293,7 +293,7 @@
                 Math.max(0, span.endMillis() - nowMillis));
     }
 
-    private void requireOwn(GrantAsk ask) {
+    private void requireOwn(GrantRequest ask) {
         Invariants.require(
                 ask.backend().equals(mSpec.id()),
                 () -> "ledger of " + mSpec.id() + " asked for " + ask.backend());
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/LedgerSettings.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/LedgerSettings.java
@@ -5,26 +5,29 @@
  *
  * @param startGraceMillis how long after its start a promise may stay unseen on the engine
  * @param overdueMillis how much longer a prefill past its expected end is expected to take
- * @param deviations standard deviations of the expected use of a decode engine that a promise
+ * @param safetyDeviations standard deviations of the expected use of a decode engine that a promise
  *     leaves room for while slots are scarce
  * @param unknownHoldMillis expected rest of an attempt that only the engine's list tells of
  * @param recoveryReserve share of the slots kept free for unknown promises while recovering
- * @param endedKept ended attempts that are remembered
+ * @param maxEndedAttempts ended attempts that are remembered
  */
 public record LedgerSettings(
         long startGraceMillis,
         long overdueMillis,
-        double deviations,
+        double safetyDeviations,
         long unknownHoldMillis,
         double recoveryReserve,
-        int endedKept) {
+        int maxEndedAttempts) {
 
     /** Values for engines that report about once a second. */
     public static final LedgerSettings DEFAULTS =
             new LedgerSettings(1_500, 50, 1, 1_000, 0.25, 1_024);
 
     public LedgerSettings {
-        if (startGraceMillis < 0 || overdueMillis < 1 || unknownHoldMillis < 1 || endedKept < 1) {
+        if (startGraceMillis < 0
+                || overdueMillis < 1
+                || unknownHoldMillis < 1
+                || maxEndedAttempts < 1) {
             throw new IllegalArgumentException(
                     "ledger times must be above 0: start grace "
                             + startGraceMillis
@@ -33,11 +36,11 @@
                             + ", unknown hold "
                             + unknownHoldMillis
                             + ", ended kept "
-                            + endedKept);
+                            + maxEndedAttempts);
         }
-        if (deviations < 0) {
+        if (safetyDeviations < 0) {
             throw new IllegalArgumentException(
-                    "deviations " + deviations + " must not be negative");
+                    "deviations " + safetyDeviations + " must not be negative");
         }
         if (recoveryReserve < 0 || recoveryReserve > 1) {
             throw new IllegalArgumentException(
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/QueuePlan.java
@@ -4,7 +4,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.link.LinkBudget;
 import org.cyclamenpaddle.routing.schedule.Interval;
@@ -33,7 +33,7 @@
 
     @Override
     public Interval preview(
-            GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+            GrantRequest ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         RoomProfile memory = memory(held, nowMillis);
         long work = computeMillis(ask.tokens());
         long from = nowMillis + Math.max(0, ask.neededInMillis()) + backlogMillis(held, nowMillis);
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void take(GrantAsk ask, Interval span) {
+    public void take(GrantRequest ask, Interval span) {
         long work = computeMillis(ask.tokens());
         mCompute.reserve(ask.attempt(), span.startMillis(), work);
         mLink.reserve(ask.attempt(), span.startMillis() + work, ask.transferBytes());
@@ -75,7 +75,7 @@
 
     /** A result that is across only after it was needed is as useless as one that starts late. */
     @Override
-    public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
+    public boolean tooLate(GrantRequest ask, Interval span, long nowMillis) {
         return span.endMillis() - nowMillis > ask.latestInMillis();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/RoomPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/RoomPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -10,10 +10,11 @@
 interface RoomPlan {
 
     /** Returns the first span in which the ask fits beside what is held. */
-    Interval preview(GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis);
+    Interval preview(
+            GrantRequest ask, Collection<Reservation> held, int reservedSlots, long nowMillis);
 
     /** Takes the room of an ask in {@code span}, or from now on if it is already in use. */
-    void take(GrantAsk ask, Interval span);
+    void take(GrantRequest ask, Interval span);
 
     /** Gives back what {@link #take} took. */
     void release(AttemptId attempt);
@@ -25,7 +26,7 @@
     void limitSlots(int most);
 
     /** Returns whether the ask is expected to come too late if it gets {@code span}. */
-    boolean tooLate(GrantAsk ask, Interval span, long nowMillis);
+    boolean tooLate(GrantRequest ask, Interval span, long nowMillis);
 
     /** Asserts that no more is promised in {@code span} than there is. */
     void requireRoom(Collection<Reservation> held, Interval span, long nowMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SlotPlan.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.schedule.Interval;
 
@@ -29,12 +29,12 @@
 
     SlotPlan(BackendSpec spec, LedgerSettings settings) {
         mSpec = spec;
-        mCaution = new Caution(settings.deviations());
+        mCaution = new Caution(settings.safetyDeviations());
     }
 
     @Override
     public Interval preview(
-            GrantAsk ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
+            GrantRequest ask, Collection<Reservation> held, int reservedSlots, long nowMillis) {
         long needed = nowMillis + Math.max(0, ask.neededInMillis());
         Wanted wanted = new Wanted(ask.pieces(), ask.holdMillis(), slotLimit(reservedSlots));
         long start = earliest(wanted, held, needed, nowMillis);
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void take(GrantAsk ask, Interval span) {
+    public void take(GrantRequest ask, Interval span) {
         // The reservation itself, kept by the ledger, is all that is taken.
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public boolean tooLate(GrantAsk ask, Interval span, long nowMillis) {
+    public boolean tooLate(GrantRequest ask, Interval span, long nowMillis) {
         boolean late = span.startMillis() - nowMillis > ask.latestInMillis();
         if (ask.latestInMillis() > 0) {
             // Asks for a slot at this very instant are those of late promises, and tell nothing.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimit.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/limit/ConcurrencyLimit.java
@@ -25,15 +25,15 @@
      * @param mostOfService requests of one service in progress at once
      * @param scarceFrom share of that from which teams are held to their shares, from 0 to 1
      */
-    public record Settings(int mostOfService, double scarceFrom) {
+    public record Settings(int maxPerService, double fairShareThreshold) {
 
         public Settings {
-            if (mostOfService < 1 || scarceFrom < 0 || scarceFrom > 1) {
+            if (maxPerService < 1 || fairShareThreshold < 0 || fairShareThreshold > 1) {
                 throw new IllegalArgumentException(
                         "limit out of range: most "
-                                + mostOfService
+                                + maxPerService
                                 + ", scarce from "
-                                + scarceFrom);
+                                + fairShareThreshold);
             }
         }
     }
@@ -71,10 +71,10 @@
         Map<TeamName, Integer> teams = mInUse.computeIfAbsent(service, any -> new HashMap<>());
         int total = total(teams);
         int ofTeam = teams.getOrDefault(team, 0);
-        if (total >= mSettings.mostOfService()) {
+        if (total >= mSettings.maxPerService()) {
             return Optional.of(Refusal.of(RefusalReason.QUEUE_FULL, total + " are in progress"));
         }
-        boolean scarce = total >= mSettings.scarceFrom() * mSettings.mostOfService();
+        boolean scarce = total >= mSettings.fairShareThreshold() * mSettings.maxPerService();
         if (scarce && ofTeam >= share(teams, team)) {
             String detail = "team " + team + " has " + ofTeam + " in progress";
             return Optional.of(Refusal.of(RefusalReason.TEAM_LIMIT, detail));
@@ -109,7 +109,7 @@
                         .filter(other -> !other.equals(team))
                         .mapToDouble(mShares::weight)
                         .sum();
-        return Math.max(1, mSettings.mostOfService() * own / (own + others));
+        return Math.max(1, mSettings.maxPerService() * own / (own + others));
     }
 
     private static int total(Map<TeamName, Integer> teams) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
@@ -50,14 +50,14 @@
      * @param more the new generation
      * @return empty if they cannot, whatever is free now
      */
-    public OptionalLong room(EngineWork engine, NewWork more) {
-        long since = engine.sinceTokens();
+    public OptionalLong requiredFreeTokens(EngineGenerations engine, NewGeneration more) {
+        long since = engine.tokensSinceReport();
         List<Growing> known =
                 Stream.concat(
-                                engine.runs().stream().map(this::reported),
+                                engine.generations().stream().map(this::reported),
                                 Stream.of(begun(more, since)))
                         .toList();
-        Growing unseen = begun(mLengths.usual(), since);
+        Growing unseen = begun(mLengths.average(), since);
         List<Sum> sums = moments(since).mapToObj(later -> Sum.of(known, unseen, later)).toList();
         if (!fits(sums, 0, engine.memoryTokens())) {
             return OptionalLong.empty();
@@ -93,19 +93,19 @@
     }
 
     /** A generation of another host is taken to have been given a place of the usual size. */
-    private Growing reported(RunningWork run) {
-        long prompt = Math.max(0, run.heldTokens() - run.madeTokens());
-        long usual = mLengths.usual().expectedTokens();
-        return new Growing(mLengths.any(), prompt, run.madeTokens(), prompt + usual);
+    private Growing reported(RunningGeneration run) {
+        long prompt = Math.max(0, run.heldTokens() - run.generatedTokens());
+        long usual = mLengths.average().expectedTokens();
+        return new Growing(mLengths.any(), prompt, run.generatedTokens(), prompt + usual);
     }
 
     /** A generation that begins now has made nothing when the report was as long ago as it is. */
-    private Growing begun(NewWork work, long sinceTokens) {
+    private Growing begun(NewGeneration work, long sinceTokens) {
         return new Growing(
                 mLengths.expecting(work.expectedTokens()),
                 work.promptTokens(),
                 -sinceTokens,
-                work.placeTokens());
+                work.reservedTokens());
     }
 
     /**
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/NewWork.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/NewGeneration.java
@@ -6,9 +6,9 @@
  * @param promptTokens its prompt
  * @param expectedTokens what its caller expects it to make
  */
-public record NewWork(long promptTokens, long expectedTokens) {
+public record NewGeneration(long promptTokens, long expectedTokens) {
 
-    public NewWork {
+    public NewGeneration {
         if (promptTokens < 0 || expectedTokens < 0) {
             throw new IllegalArgumentException(
                     "generation of " + promptTokens + " and " + expectedTokens + " tokens");
@@ -16,7 +16,7 @@
     }
 
     /** Returns the tokens that are kept for it from its start: what it is expected to hold. */
-    public long placeTokens() {
+    public long reservedTokens() {
         return promptTokens + expectedTokens;
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/OutputLengths.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/OutputLengths.java
@@ -24,14 +24,14 @@
     private final RecentValues mOverExpected = new RecentValues(WINDOW);
 
     /** Notes a generation that has arrived. */
-    public void begun(NewWork work) {
+    public void started(NewGeneration work) {
         mPrompts.add(work.promptTokens());
         mExpected.add(work.expectedTokens());
     }
 
     /** Returns a usual generation. */
-    public NewWork usual() {
-        return new NewWork(Math.round(mPrompts.mean()), Math.round(mean()));
+    public NewGeneration average() {
+        return new NewGeneration(Math.round(mPrompts.mean()), Math.round(mean()));
     }
 
     /** Notes what a generation has made. */
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/RunningWork.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/RunningGeneration.java
@@ -4,14 +4,14 @@
  * One generation that runs at an engine.
  *
  * @param heldTokens tokens that it holds in the engine's memory
- * @param madeTokens tokens that it has generated so far
+ * @param generatedTokens tokens that it has generated so far
  */
-public record RunningWork(long heldTokens, long madeTokens) {
+public record RunningGeneration(long heldTokens, long generatedTokens) {
 
-    public RunningWork {
-        if (heldTokens < 0 || madeTokens < 0) {
+    public RunningGeneration {
+        if (heldTokens < 0 || generatedTokens < 0) {
             throw new IllegalArgumentException(
-                    "generation holds " + heldTokens + " and made " + madeTokens + " tokens");
+                    "generation holds " + heldTokens + " and made " + generatedTokens + " tokens");
         }
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -90,11 +90,11 @@
      * @param nowMillis reading of the clock
      * @return what peers must be told
      */
-    public List<StrikeNotice> onBackendDied(
+    public List<StrikeNotice> onBackendCrashed(
             BackendId backend, Collection<Long> fingerprints, long nowMillis) {
         forgetExpired(nowMillis);
         Set<Long> distinct = new HashSet<>(fingerprints);
-        long until = nowMillis + mSettings.keepMillis();
+        long until = nowMillis + mSettings.retentionMillis();
         distinct.forEach(fingerprint -> strike(fingerprint, Set.of(backend), until));
         bound();
         return distinct.stream()
@@ -111,11 +111,11 @@
      */
     public void merge(StrikeNotice notice, long nowMillis) {
         forgetExpired(nowMillis);
-        if (notice.remainingMillis() <= 0 || notice.struck().isEmpty()) {
+        if (notice.remainingMillis() <= 0 || notice.crashedBackends().isEmpty()) {
             return;
         }
-        long remaining = Math.min(notice.remainingMillis(), mSettings.keepMillis());
-        strike(notice.fingerprint(), notice.struck(), nowMillis + remaining);
+        long remaining = Math.min(notice.remainingMillis(), mSettings.retentionMillis());
+        strike(notice.fingerprint(), notice.crashedBackends(), nowMillis + remaining);
         bound();
     }
 
@@ -186,7 +186,7 @@
     }
 
     private void bound() {
-        while (mStrikes.size() > mSettings.mostFingerprints()) {
+        while (mStrikes.size() > mSettings.maxFingerprints()) {
             mStrikes.entrySet().stream()
                     .min(LEAST_TELLING_FIRST)
                     .map(Map.Entry::getKey)
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/OpenWork.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/OpenWork.java
@@ -38,7 +38,9 @@
     /** Gives back the room of one attempt, if any is held. */
     List<RequestEffect> closeGrant(AttemptId attempt) {
         BackendId backend = mGrants.remove(attempt);
-        return backend == null ? List.of() : List.of(new RequestEffect.EndGrant(attempt, backend));
+        return backend == null
+                ? List.of()
+                : List.of(new RequestEffect.ReleaseGrant(attempt, backend));
     }
 
     /** Cancels one attempt, if open, and gives back its room. */
@@ -55,7 +57,7 @@
     List<RequestEffect> closeAll() {
         List<RequestEffect> effects = new ArrayList<>();
         mAttempts.forEach((id, backend) -> effects.add(new RequestEffect.Cancel(id, backend)));
-        mGrants.forEach((id, backend) -> effects.add(new RequestEffect.EndGrant(id, backend)));
+        mGrants.forEach((id, backend) -> effects.add(new RequestEffect.ReleaseGrant(id, backend)));
         mAttempts.clear();
         mGrants.clear();
         return effects;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
@@ -84,7 +84,7 @@
     }
 
     /** Chooses a prefill server; the ask is empty if the policy goes without grants. */
-    Either<Refusal, Optional<GrantAsk>> choosePrefill(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> choosePrefill(int generated, long now) {
         mDecode = Optional.empty();
         mDecodeChoices = 0;
         return mEnvironment
@@ -94,7 +94,7 @@
     }
 
     /** Chooses a decode server for the prefill server chosen before. */
-    Either<Refusal, Optional<GrantAsk>> chooseDecode(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> chooseDecode(int generated, long now) {
         long endIn = Math.max(0, prefill().readyAt() - now);
         mDecodeChoices++;
         return mEnvironment
@@ -129,19 +129,19 @@
         return ranked.map(choices -> decode()).mapLeft(this::meaning);
     }
 
-    void prefillGranted(GrantAnswer answer, long now) {
+    void prefillGranted(GrantResponse answer, long now) {
         mPrefill = Optional.of(prefill().readyAt(now + answer.endInMillis()));
     }
 
     /** Takes a decode grant and returns by how much the prefill has to wait for the slot. */
-    long decodeGranted(GrantAnswer answer, long now) {
+    long decodeGranted(GrantResponse answer, long now) {
         long wait = now + answer.startInMillis() - decode().readyAt();
         mDecode = Optional.of(decode().readyAt(now + answer.startInMillis()));
         return wait;
     }
 
     /** Notes that a server gave no grant; returns the refusal if no other one is to be asked. */
-    Optional<Refusal> refused(BackendId backend, Optional<GrantAnswer> answer, long now) {
+    Optional<Refusal> refused(BackendId backend, Optional<GrantResponse> answer, long now) {
         mRefused.add(backend);
         answer.filter(given -> given.decision() == GrantDecision.TOO_LATE)
                 .ifPresent(
@@ -151,16 +151,18 @@
                 : Optional.empty();
     }
 
-    private Optional<GrantAsk> prefillAsk(Choice choice, int generated, long now) {
+    private Optional<GrantRequest> prefillAsk(Choice choice, int generated, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
         mPrefill = Optional.of(new Placed(attempt, choice, now + choice.predictedMillis()));
-        return asked(mEnvironment.prefillAsk(attempt, mShape, generated, choice, mPlaceBy - now));
+        return asked(
+                mEnvironment.prefillGrantRequest(
+                        attempt, mShape, generated, choice, mPlaceBy - now));
     }
 
-    private Optional<GrantAsk> decodeAsk(Choice choice, int generated, long endIn, long now) {
+    private Optional<GrantRequest> decodeAsk(Choice choice, int generated, long endIn, long now) {
         AttemptId attempt = mEnvironment.newAttempt();
-        GrantAsk ask =
-                mEnvironment.decodeAsk(
+        GrantRequest ask =
+                mEnvironment.decodeGrantRequest(
                         attempt,
                         mShape,
                         generated,
@@ -172,7 +174,7 @@
         return asked(ask);
     }
 
-    private Optional<GrantAsk> asked(GrantAsk ask) {
+    private Optional<GrantRequest> asked(GrantRequest ask) {
         return mEnvironment.usesGrants() ? Optional.of(ask) : Optional.empty();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -18,10 +18,10 @@
      *
      * @param ask the ask
      */
-    record AskGrant(GrantAsk ask) implements RequestEffect {
+    record RequestGrant(GrantRequest request) implements RequestEffect {
         @Override
         public void perform(RequestEffectHandler handler) {
-            handler.askGrant(this);
+            handler.requestGrant(this);
         }
     }
 
@@ -31,10 +31,10 @@
      * @param attempt whose room
      * @param backend where
      */
-    record EndGrant(AttemptId attempt, BackendId backend) implements RequestEffect {
+    record ReleaseGrant(AttemptId attempt, BackendId backend) implements RequestEffect {
         @Override
         public void perform(RequestEffectHandler handler) {
-            handler.endGrant(this);
+            handler.releaseGrant(this);
         }
     }
 
@@ -178,10 +178,10 @@
      *
      * @param tokens uncached tokens computed
      */
-    record CountWaste(int tokens) implements RequestEffect {
+    record CountWastedPrefill(int tokens) implements RequestEffect {
         @Override
         public void perform(RequestEffectHandler handler) {
-            handler.countWaste(this);
+            handler.countWastedPrefill(this);
         }
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffectHandler.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEffectHandler.java
@@ -4,10 +4,10 @@
 public interface RequestEffectHandler {
 
     /** Asks the owner of the ledger. */
-    void askGrant(RequestEffect.AskGrant effect);
+    void requestGrant(RequestEffect.RequestGrant effect);
 
     /** Tells the owner that the room is not needed any more. */
-    void endGrant(RequestEffect.EndGrant effect);
+    void releaseGrant(RequestEffect.ReleaseGrant effect);
 
     /** Starts a prefill. */
     void startPrefill(RequestEffect.StartPrefill effect);
@@ -37,5 +37,5 @@
     void countRetry(RequestEffect.CountRetry effect);
 
     /** Counts prefill that was computed and never used. */
-    void countWaste(RequestEffect.CountWaste effect);
+    void countWastedPrefill(RequestEffect.CountWastedPrefill effect);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
@@ -53,7 +53,7 @@
      * @param generated tokens already sent to the caller
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk prefillAsk(
+    GrantRequest prefillGrantRequest(
             AttemptId attempt, RequestShape shape, int generated, Choice choice, long millisLeft);
 
     /**
@@ -64,7 +64,7 @@
      * @param prefillEndInMillis when prefill and transfer are expected to have ended
      * @param millisLeft until the first token, or the next one, is due
      */
-    GrantAsk decodeAsk(
+    GrantRequest decodeGrantRequest(
             AttemptId attempt,
             RequestShape shape,
             int generated,
@@ -74,10 +74,10 @@
             long millisLeft);
 
     /** Takes one retry from the service's budget; returns whether there was one. */
-    boolean mayRetry(RequestShape shape, RetryReason reason, long now);
+    boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now);
 
     /** Notes that no new connection to a backend server could be had; it is ranked last. */
-    void backendUnreached(BackendId backend, long now);
+    void backendUnreachable(BackendId backend, long now);
 
     /**
      * Notes that a backend server died, or lost its state, while it ran this request.
@@ -85,5 +85,5 @@
      * <p>The request's strike is given before this returns, so that the next ranking already sees
      * it.
      */
-    void backendDied(RequestShape shape, BackendId backend, long now);
+    void backendCrashed(RequestShape shape, BackendId backend, long now);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -6,9 +6,9 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.invariant.Invariants;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -85,11 +85,11 @@
     }
 
     /** Takes an owner's answer. */
-    public List<RequestEffect> onGrantAnswer(GrantAnswer answer, long now) {
+    public List<RequestEffect> onGrantResponse(GrantResponse answer, long now) {
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (!isAsked(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
-                mEffects.add(new RequestEffect.EndGrant(answer.attempt(), answer.backend()));
+                mEffects.add(new RequestEffect.ReleaseGrant(answer.attempt(), answer.backend()));
             }
         } else if (!granted) {
             mOpen.grantRefused(answer.attempt());
@@ -179,7 +179,7 @@
     }
 
     /** Takes note that the caller has gone, at any step. */
-    public List<RequestEffect> onCallerGone(long now) {
+    public List<RequestEffect> onCallerDisconnected(long now) {
         if (mPhase != RequestPhase.DONE) {
             end(
                     new RequestEffect.Refuse(
@@ -222,14 +222,14 @@
                 .peek(ask -> ask.ifPresentOrElse(this::askGrant, () -> startPrefill(now)));
     }
 
-    private void askGrant(GrantAsk ask) {
+    private void askGrant(GrantRequest ask) {
         // Held from the ask on: the owner may have granted although its answer is lost.
         mOpen.openGrant(ask.attempt(), ask.backend());
-        mEffects.add(new RequestEffect.AskGrant(ask));
+        mEffects.add(new RequestEffect.RequestGrant(ask));
         setTimer(TimerKind.GRANT, mSettings.grantMillis());
     }
 
-    private void tryNextChoice(BackendId refused, Optional<GrantAnswer> answer, long now) {
+    private void tryNextChoice(BackendId refused, Optional<GrantResponse> answer, long now) {
         Optional<Refusal> last = mRound.refused(refused, answer, now);
         if (last.isPresent()) {
             noPlace(last.get(), now);
@@ -269,7 +269,7 @@
      * each planned restart of a host.
      */
     private void noPlace(Refusal refusal, long now) {
-        boolean recovering = mPlacements > 0 && refusal.reason().waitingHelps();
+        boolean recovering = mPlacements > 0 && refusal.reason().retryable();
         boolean moving = mRound.onlyOwnersRefused() && ++mMoves <= MOST_MOVES;
         if (!(recovering || moving) || mRound.late(now + PLACE_PAUSE_MILLIS)) {
             endRefused(refusal);
@@ -423,10 +423,10 @@
      */
     private void noteFailure(Placed placed, StepFailure failure, boolean died, long now) {
         if (failure == StepFailure.UNREACHABLE) {
-            mEnvironment.backendUnreached(placed.backend(), now);
+            mEnvironment.backendUnreachable(placed.backend(), now);
         }
         if (died) {
-            mEnvironment.backendDied(mShape, placed.backend(), now);
+            mEnvironment.backendCrashed(mShape, placed.backend(), now);
         }
     }
 
@@ -449,7 +449,7 @@
                             mPlacements + " placements failed, the last by " + reason.code()));
             return false;
         }
-        if (!mEnvironment.mayRetry(mShape, reason, now)) {
+        if (!mEnvironment.tryAcquireRetry(mShape, reason, now)) {
             endRefused(Refusal.of(RefusalReason.RETRY_BUDGET_EMPTY, reason.code()));
             return false;
         }
@@ -474,7 +474,7 @@
 
     private void countWaste() {
         if (mUnusedTokens > 0) {
-            mEffects.add(new RequestEffect.CountWaste(mUnusedTokens));
+            mEffects.add(new RequestEffect.CountWastedPrefill(mUnusedTokens));
             mUnusedTokens = 0;
         }
     }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/CallerTerms.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/CallerLimits.java
@@ -6,9 +6,9 @@
  * @param targetMillis time in which the first token should come
  * @param silenceMillis time without an event after which they leave
  */
-public record CallerTerms(long targetMillis, long silenceMillis) {
+public record CallerLimits(long targetMillis, long silenceMillis) {
 
-    public CallerTerms {
+    public CallerLimits {
         if (targetMillis < 0 || silenceMillis < 0) {
             throw new IllegalArgumentException(
                     "callers who want a token in "
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
@@ -22,7 +22,7 @@
      * @param generationMillis time that a usual generation takes; 0 if it is not known
      * @param terms of the route
      */
-    public static long leastMillis(double generationMillis, CallerTerms terms) {
+    public static long minMillis(double generationMillis, CallerLimits terms) {
         double millis =
                 generationMillis > 0
                         ? generationMillis * LEAST_SHARE
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservationWait.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservationWait.java
@@ -25,12 +25,12 @@
      * @param terms what its caller accepts
      * @param stage what it has behind it
      */
-    public static ReservationWait begin(long nowMillis, CallerTerms terms, RetryStage stage) {
+    public static ReservationWait begin(long nowMillis, CallerLimits terms, RetryStage stage) {
         return new ReservationWait(nowMillis, stage.waitMillis(terms), stage);
     }
 
     /** Returns whether there is time for another ask after a pause. */
-    public boolean mayGoOn(long nowMillis) {
+    public boolean mayRetry(long nowMillis) {
         return leftMillis(nowMillis) >= RetryStage.SHORT_PAUSE_MILLIS;
     }
 
@@ -49,7 +49,7 @@
      * @param ownTokens memory that the request needs
      * @param usualTokens memory that a usual request needs; empty if that is not known
      */
-    public long tokensLeft(long nowMillis, long ownTokens, OptionalLong usualTokens) {
+    public long headroomTokens(long nowMillis, long ownTokens, OptionalLong usualTokens) {
         return yields(nowMillis) ? Math.min(ownTokens, usualTokens.orElse(ownTokens)) : 0;
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservePacing.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReservePacing.java
@@ -20,7 +20,7 @@
     private int mRounds;
 
     /** Notes that an engine had no room. */
-    public void turnedAway() {
+    public void rejected() {
         mAsks++;
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
@@ -11,7 +11,7 @@
     /** Has only just come; it can still meet its target. */
     FIRST {
         @Override
-        long waitMillis(CallerTerms terms) {
+        long waitMillis(CallerLimits terms) {
             return (long) (terms.targetMillis() * FIRST_WAIT_SHARE);
         }
 
@@ -26,9 +26,9 @@
      * another one late: it asks rarely and for more than it needs, and like others only at the end
      * of its wait, when it would be refused for good.
      */
-    COME_BACK {
+    RETURNING {
         @Override
-        long waitMillis(CallerTerms terms) {
+        long waitMillis(CallerLimits terms) {
             return (long) (terms.silenceMillis() * BACK_WAIT_SHARE);
         }
 
@@ -48,9 +48,9 @@
      * Was sent already and has to go on elsewhere. It may have run, so that it cannot be told to
      * come back: given up, it is lost. It asks often, and for as long as its caller stays.
      */
-    REPEAT {
+    RETRY {
         @Override
-        long waitMillis(CallerTerms terms) {
+        long waitMillis(CallerLimits terms) {
             return (long) (terms.silenceMillis() * REPEAT_WAIT_SHARE);
         }
 
@@ -85,7 +85,7 @@
     private static final double REPEAT_WAIT_SHARE = 0.6;
 
     /** Returns for how long the search goes on. */
-    abstract long waitMillis(CallerTerms terms);
+    abstract long waitMillis(CallerLimits terms);
 
     /** Returns the pause before the next ask when so much is left of the search. */
     abstract long pauseMillis(long leftMillis, long waitMillis);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningClients.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningClients.java
@@ -41,7 +41,7 @@
      * @param spentMillis least time that a caller spends on a first try and the wait after it
      * @param nowMillis reading of the clock
      */
-    public boolean comesBack(String route, long waitMillis, long spentMillis, long nowMillis) {
+    public boolean isReturning(String route, long waitMillis, long spentMillis, long nowMillis) {
         Longest longest =
                 mLongest.merge(
                         route,
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/Backoff.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/Backoff.java
@@ -9,9 +9,9 @@
  * evenly from nothing to the bound spreads them.
  *
  * @param baseMillis bound of the first wait
- * @param mostMillis bound of every wait
+ * @param maxMillis bound of every wait
  */
-public record Backoff(long baseMillis, long mostMillis) {
+public record Backoff(long baseMillis, long maxMillis) {
 
     /** Bounds fit for a first token target of some hundred milliseconds. */
     public static final Backoff DEFAULTS = new Backoff(10, 1_000);
@@ -19,9 +19,9 @@
     private static final int MAX_DOUBLINGS = 30;
 
     public Backoff {
-        if (baseMillis < 1 || mostMillis < baseMillis) {
+        if (baseMillis < 1 || maxMillis < baseMillis) {
             throw new IllegalArgumentException(
-                    "backoff from " + baseMillis + " to " + mostMillis + " ms is contradictory");
+                    "backoff from " + baseMillis + " to " + maxMillis + " ms is contradictory");
         }
     }
 
@@ -33,7 +33,7 @@
      */
     public long waitMillis(int failures, UniformRandomProvider random) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
-        long bound = Math.min(mostMillis, baseMillis << doublings);
+        long bound = Math.min(maxMillis, baseMillis << doublings);
         return random.nextLong(bound + 1);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
@@ -20,20 +20,20 @@
      * @param floorPerSecond retries earned each second without any request
      * @param most retries that can be saved up
      */
-    public record Settings(double share, double floorPerSecond, double most) {
+    public record Settings(double share, double minPerSecond, double capacity) {
 
         /** A tenth of fresh requests, one in two seconds besides, twenty saved up. */
         public static final Settings DEFAULTS = new Settings(0.1, 0.5, 20);
 
         public Settings {
-            if (share < 0 || share > 1 || floorPerSecond < 0 || most < 1) {
+            if (share < 0 || share > 1 || minPerSecond < 0 || capacity < 1) {
                 throw new IllegalArgumentException(
                         "retry budget out of range: share "
                                 + share
                                 + ", floor "
-                                + floorPerSecond
+                                + minPerSecond
                                 + " a second, most "
-                                + most);
+                                + capacity);
             }
         }
     }
@@ -69,7 +69,7 @@
      * @param service its service
      * @param nowMillis reading of the clock
      */
-    public void freshRequest(ServiceName service, long nowMillis) {
+    public void recordRequest(ServiceName service, long nowMillis) {
         earn(service, mSettings.share(), nowMillis);
     }
 
@@ -79,7 +79,7 @@
      * @param service its service
      * @param nowMillis reading of the clock
      */
-    public boolean tryTake(ServiceName service, long nowMillis) {
+    public boolean tryAcquire(ServiceName service, long nowMillis) {
         double left = earn(service, 0, nowMillis);
         if (left < 1) {
             return false;
@@ -89,15 +89,15 @@
     }
 
     /** Returns the retries left for a service. */
-    public double left(ServiceName service, long nowMillis) {
+    public double remaining(ServiceName service, long nowMillis) {
         return earn(service, 0, nowMillis);
     }
 
     private double earn(ServiceName service, double retries, long nowMillis) {
-        Balance old = mBalances.getOrDefault(service, new Balance(mSettings.most(), nowMillis));
+        Balance old = mBalances.getOrDefault(service, new Balance(mSettings.capacity(), nowMillis));
         double passed = Math.max(0, nowMillis - old.atMillis()) / MILLIS_PER_SECOND;
-        double flow = passed * mSettings.floorPerSecond();
-        double sum = Math.min(mSettings.most(), old.retries() + retries + flow);
+        double flow = passed * mSettings.minPerSecond();
+        double sum = Math.min(mSettings.capacity(), old.retries() + retries + flow);
         mBalances.put(service, new Balance(sum, nowMillis));
         return sum;
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/Fixtures.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.core.id.HostId;
 import org.cyclamenpaddle.core.id.Incarnation;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.routing.placement.BackendView;
 import org.cyclamenpaddle.routing.placement.CostFactors;
@@ -61,13 +61,13 @@
                 false);
     }
 
-    public static GrantAsk decodeAsk(long attempt, long needed, long latest, long hold) {
-        return new GrantAsk(
+    public static GrantRequest decodeAsk(long attempt, long needed, long latest, long hold) {
+        return new GrantRequest(
                 attempt(attempt), id(1), BackendRole.DECODE, 0, 1, 0, needed, latest, hold);
     }
 
-    public static GrantAsk prefillAsk(long attempt, int tokens, long bytes, long latest) {
-        return new GrantAsk(
+    public static GrantRequest prefillAsk(long attempt, int tokens, long bytes, long latest) {
+        return new GrantRequest(
                 attempt(attempt), id(1), BackendRole.PREFILL, tokens, 1, bytes, 0, latest, 0);
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantAsksTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/admission/GrantAsksTest.java
@@ -7,19 +7,19 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.routing.placement.Candidate;
 import org.testng.annotations.Test;
 
 public class GrantAsksTest {
 
-    private static final GrantAsks ASKS = new GrantAsks(30, 80);
+    private static final GrantRequestFactory ASKS = new GrantRequestFactory(30, 80);
     private static final long TRANSFER = 10;
     private static final long TOKEN = 20;
 
     @Test
     public void prefillAsksForUncachedTokensOnly() {
-        GrantAsk ask =
+        GrantRequest ask =
                 ASKS.prefill(attempt(1), request(1_000, 580), new Candidate(id(1), 0, 256), 500);
 
         assertEquals(ask.tokens(), 744);
@@ -28,7 +28,7 @@
 
     @Test
     public void decodeSlotIsNeededFromEndOfPrefill() {
-        GrantAsk ask =
+        GrantRequest ask =
                 ASKS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 150, 500);
 
@@ -43,10 +43,10 @@
      */
     @Test
     public void longPromptMayHaveSlotOnTime() {
-        GrantAsk tight =
+        GrantRequest tight =
                 ASKS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 430, 500);
-        GrantAsk hopeless =
+        GrantRequest hopeless =
                 ASKS.decode(
                         attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20), 460, 500);
 
@@ -57,7 +57,7 @@
 
     @Test
     public void lateSlotIsReplacedByOneThatIsFreeNow() {
-        GrantAsk ask =
+        GrantRequest ask =
                 ASKS.decodeNow(attempt(1), request(1_000, 580), backend(2, 20), backend(1, 20));
 
         assertEquals(ask.neededInMillis(), 0);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/expect/TokenPaceTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/expect/TokenPaceTest.java
@@ -7,8 +7,8 @@
 
 public class TokenPaceTest {
 
-    private static TokenPace learned(double alone, double perRequest) {
-        TokenPace pace = new TokenPace();
+    private static TokenIntervalModel learned(double alone, double perRequest) {
+        TokenIntervalModel pace = new TokenIntervalModel();
         for (int i = 0; i < 200; i++) {
             int batch = 1 + i % 20;
             pace.observed(id(1), batch, alone + perRequest * batch);
@@ -22,16 +22,16 @@
      */
     @Test
     public void findsLargestBatchWithinTarget() {
-        assertEquals(learned(10, 2).mostWithin(id(1), 44, 20), 16);
-        assertEquals(learned(10, 1).mostWithin(id(1), 44, 20), 20);
-        assertEquals(learned(100, 2).mostWithin(id(1), 44, 20), 1);
+        assertEquals(learned(10, 2).maxBatchWithin(id(1), 44, 20), 16);
+        assertEquals(learned(10, 1).maxBatchWithin(id(1), 44, 20), 20);
+        assertEquals(learned(100, 2).maxBatchWithin(id(1), 44, 20), 1);
     }
 
     @Test
     public void allSlotsUntilEnoughIsKnown() {
-        TokenPace pace = new TokenPace();
+        TokenIntervalModel pace = new TokenIntervalModel();
         pace.observed(id(1), 20, 500);
-        assertEquals(pace.mostWithin(id(1), 44, 20), 20);
-        assertEquals(learned(10, 2).mostWithin(id(2), 44, 20), 20);
+        assertEquals(pace.maxBatchWithin(id(1), 44, 20), 20);
+        assertEquals(learned(10, 2).maxBatchWithin(id(2), 44, 20), 20);
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -13,9 +13,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.config.BackendRole;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 import org.cyclamenpaddle.core.time.VirtualClock;
 import org.cyclamenpaddle.routing.Fixtures;
@@ -34,7 +34,7 @@
 
     private final VirtualClock mClock = new VirtualClock(0);
     private final Map<AttemptId, Long> mEndsAt = new HashMap<>();
-    private final Map<AttemptId, GrantAsk> mGranted = new HashMap<>();
+    private final Map<AttemptId, GrantRequest> mGranted = new HashMap<>();
     private final Set<AttemptId> mEnded = new HashSet<>();
 
     private UniformRandomProvider mRandom;
@@ -74,9 +74,9 @@
     }
 
     private void ask(int number) {
-        GrantAsk ask = decodeAsk(number, mRandom.nextInt(150), LATEST, 1_000);
-        GrantAnswer answer = mLedger.ask(ask, now());
-        GrantAnswer again = mLedger.ask(ask, now());
+        GrantRequest ask = decodeAsk(number, mRandom.nextInt(150), LATEST, 1_000);
+        GrantResponse answer = mLedger.request(ask, now());
+        GrantResponse again = mLedger.request(ask, now());
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (granted) {
             assertEquals(again, answer, "asked twice");
@@ -92,16 +92,16 @@
         }
     }
 
-    private GrantAsk promised(GrantAsk ask, GrantAnswer answer) {
+    private GrantRequest promised(GrantRequest ask, GrantResponse answer) {
         long startsAt = now() + answer.startInMillis();
-        return new GrantAsk(
+        return new GrantRequest(
                 ask.attempt(), ask.backend(), ask.role(), 0, 1, 0, startsAt, LATEST, 1_000);
     }
 
     private void startDue() {
-        List<GrantAsk> due =
+        List<GrantRequest> due =
                 mGranted.values().stream().filter(ask -> ask.neededInMillis() <= now()).toList();
-        for (GrantAsk ask : due) {
+        for (GrantRequest ask : due) {
             if (mEndsAt.size() < SLOTS) {
                 mGranted.remove(ask.attempt());
                 mStarts++;
@@ -128,23 +128,25 @@
     }
 
     private void end(AttemptId attempt) {
-        mLedger.end(attempt, now());
+        mLedger.release(attempt, now());
         mEnded.add(attempt);
         assertEquals(
-                mLedger.ask(again(attempt), now()).decision(), GrantDecision.UNAVAILABLE, "ended");
+                mLedger.request(again(attempt), now()).decision(),
+                GrantDecision.UNAVAILABLE,
+                "ended");
     }
 
     private void changeOwner() {
         mLedger = newLedger();
         mLedger.recoverUntil(now() + 500);
         assertEquals(
-                mLedger.ask(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
+                mLedger.request(decodeAsk(1_000_000, 0, LATEST, 1), now()).decision(),
                 GrantDecision.UNAVAILABLE);
         mLedger.observe(engineList(), now());
-        for (GrantAsk ask : new ArrayList<>(mGranted.values())) {
+        for (GrantRequest ask : new ArrayList<>(mGranted.values())) {
             long startsIn = ask.neededInMillis() - now();
             mLedger.register(
-                    new GrantAsk(
+                    new GrantRequest(
                             ask.attempt(),
                             ask.backend(),
                             ask.role(),
@@ -173,8 +175,9 @@
                 .toList();
     }
 
-    private GrantAsk again(AttemptId attempt) {
-        return new GrantAsk(attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
+    private GrantRequest again(AttemptId attempt) {
+        return new GrantRequest(
+                attempt, Fixtures.id(1), BackendRole.DECODE, 0, 1, 0, 0, LATEST, 1_000);
     }
 
     private GrantLedger newLedger() {
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Set;
 import org.cyclamenpaddle.core.config.BackendRole;
-import org.cyclamenpaddle.core.message.GrantAnswer;
-import org.cyclamenpaddle.core.message.GrantAsk;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantRequest;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.routing.Fixtures;
 import org.testng.annotations.Test;
 
@@ -29,8 +29,8 @@
         GrantLedger ledger = decode(slots);
         for (int i = 0; i < 200; i++) {
             long begin = -1_000_000 + i * 1_000;
-            ledger.ask(decodeAsk(1_000 + i, 0, 500, 300), begin);
-            ledger.end(attempt(1_000 + i), begin + 300);
+            ledger.request(decodeAsk(1_000 + i, 0, 500, 300), begin);
+            ledger.release(attempt(1_000 + i), begin + 300);
         }
         return ledger;
     }
@@ -50,9 +50,9 @@
     @Test
     public void promisesSlotFromExpectedEndOfRunningAttempt() {
         GrantLedger ledger = experienced(1);
-        ledger.ask(decodeAsk(1, 0, 500, 300), 0);
+        ledger.request(decodeAsk(1, 0, 500, 300), 0);
 
-        GrantAnswer second = ledger.ask(decodeAsk(2, 100, 500, 300), 0);
+        GrantResponse second = ledger.request(decodeAsk(2, 100, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.GRANTED);
         assertBetween(second.startInMillis(), 300, 330);
@@ -62,19 +62,20 @@
     @Test
     public void slotIsFreeUntilPromiseBegins() {
         GrantLedger ledger = experienced(1);
-        ledger.ask(decodeAsk(1, 400, 500, 300), 0);
+        ledger.request(decodeAsk(1, 400, 500, 300), 0);
 
-        assertEquals(ledger.ask(decodeAsk(2, 0, 10, 600), 0).decision(), GrantDecision.TOO_LATE);
-        assertEquals(ledger.ask(decodeAsk(3, 0, 10, 300), 0).startInMillis(), 0);
-        assertEquals(ledger.ask(decodeAsk(4, 0, 10, 1), 0).decision(), GrantDecision.TOO_LATE);
+        assertEquals(
+                ledger.request(decodeAsk(2, 0, 10, 600), 0).decision(), GrantDecision.TOO_LATE);
+        assertEquals(ledger.request(decodeAsk(3, 0, 10, 300), 0).startInMillis(), 0);
+        assertEquals(ledger.request(decodeAsk(4, 0, 10, 1), 0).decision(), GrantDecision.TOO_LATE);
     }
 
     @Test
     public void saysWhenRoomWouldCome() {
         GrantLedger ledger = experienced(1);
-        ledger.ask(decodeAsk(1, 0, 500, 900), 0);
+        ledger.request(decodeAsk(1, 0, 500, 900), 0);
 
-        GrantAnswer second = ledger.ask(decodeAsk(2, 0, 500, 300), 0);
+        GrantResponse second = ledger.request(decodeAsk(2, 0, 500, 300), 0);
 
         assertEquals(second.decision(), GrantDecision.TOO_LATE);
         assertBetween(second.startInMillis(), 900, 960);
@@ -84,24 +85,27 @@
     @Test
     public void closedLedgerKeepsItsPromisesAndMakesNone() {
         GrantLedger ledger = decode(2);
-        ledger.ask(decodeAsk(1, 100, 500, 300), 0);
+        ledger.request(decodeAsk(1, 100, 500, 300), 0);
 
         ledger.close();
 
-        assertEquals(ledger.ask(decodeAsk(1, 100, 500, 300), 1).decision(), GrantDecision.GRANTED);
         assertEquals(
-                ledger.ask(decodeAsk(2, 100, 500, 300), 1).decision(), GrantDecision.UNAVAILABLE);
+                ledger.request(decodeAsk(1, 100, 500, 300), 1).decision(), GrantDecision.GRANTED);
+        assertEquals(
+                ledger.request(decodeAsk(2, 100, 500, 300), 1).decision(),
+                GrantDecision.UNAVAILABLE);
         assertFalse(ledger.summary(1).reachable());
         ledger.open();
-        assertEquals(ledger.ask(decodeAsk(2, 100, 500, 300), 1).decision(), GrantDecision.GRANTED);
+        assertEquals(
+                ledger.request(decodeAsk(2, 100, 500, 300), 1).decision(), GrantDecision.GRANTED);
     }
 
     @Test
     public void askingTwiceGivesOnePromise() {
         GrantLedger ledger = decode(2);
-        GrantAnswer first = ledger.ask(decodeAsk(1, 100, 500, 300), 0);
+        GrantResponse first = ledger.request(decodeAsk(1, 100, 500, 300), 0);
 
-        GrantAnswer again = ledger.ask(decodeAsk(1, 100, 500, 300), 40);
+        GrantResponse again = ledger.request(decodeAsk(1, 100, 500, 300), 40);
 
         assertEquals(again.startInMillis(), first.startInMillis() - 40);
         assertEquals(ledger.summary(40).freeSlots(), 1);
@@ -115,11 +119,11 @@
     @Test
     public void overdueAttemptHoldsItsSlotUntilEnded() {
         GrantLedger ledger = decode(1);
-        ledger.ask(decodeAsk(1, 0, 500, 300), 0);
+        ledger.request(decodeAsk(1, 0, 500, 300), 0);
 
-        GrantAnswer late = ledger.ask(decodeAsk(2, 0, 10, 300), 1_000);
-        ledger.end(attempt(1), 1_000);
-        GrantAnswer after = ledger.ask(decodeAsk(3, 0, 10, 300), 1_000);
+        GrantResponse late = ledger.request(decodeAsk(2, 0, 10, 300), 1_000);
+        ledger.release(attempt(1), 1_000);
+        GrantResponse after = ledger.request(decodeAsk(3, 0, 10, 300), 1_000);
 
         assertEquals(late.decision(), GrantDecision.TOO_LATE);
         assertEquals(after.decision(), GrantDecision.GRANTED);
@@ -132,29 +136,29 @@
     @Test
     public void askAfterEndGetsNoRoom() {
         GrantLedger ledger = decode(1);
-        ledger.end(attempt(1), 0);
+        ledger.release(attempt(1), 0);
 
         assertEquals(
-                ledger.ask(decodeAsk(1, 0, 500, 300), 1).decision(), GrantDecision.UNAVAILABLE);
+                ledger.request(decodeAsk(1, 0, 500, 300), 1).decision(), GrantDecision.UNAVAILABLE);
     }
 
     @Test
     public void memoryPiecesAreBudgetedOverTime() {
         GrantLedger ledger = experienced(20);
-        ledger.ask(sized(decodeAsk(1, 0, 500, 300), Fixtures.PIECES), 0);
+        ledger.request(sized(decodeAsk(1, 0, 500, 300), Fixtures.PIECES), 0);
 
-        GrantAnswer second = ledger.ask(sized(decodeAsk(2, 0, 500, 100), 50), 0);
+        GrantResponse second = ledger.request(sized(decodeAsk(2, 0, 500, 100), 50), 0);
         assertBetween(second.startInMillis(), 300, 330);
         assertEquals(
-                ledger.ask(sized(decodeAsk(3, 0, 500, 100), Fixtures.PIECES + 1), 0).decision(),
+                ledger.request(sized(decodeAsk(3, 0, 500, 100), Fixtures.PIECES + 1), 0).decision(),
                 GrantDecision.TOO_BIG);
     }
 
     @Test
     public void engineListReconciles() {
         GrantLedger ledger = decode(4);
-        ledger.ask(decodeAsk(1, 0, 500, 300), 0);
-        ledger.ask(decodeAsk(2, 0, 500, 9_000), 0);
+        ledger.request(decodeAsk(1, 0, 500, 300), 0);
+        ledger.request(decodeAsk(2, 0, 500, 9_000), 0);
 
         ledger.observe(List.of(seen(2), seen(7)), 100);
         assertEquals(ledger.attempts().size(), 3, "foreign counted, young promise kept");
@@ -176,11 +180,11 @@
         GrantLedger ledger = decode(4);
         ledger.recoverUntil(1_000);
 
-        GrantAnswer blind = ledger.ask(decodeAsk(1, 0, 500, 300), 0);
+        GrantResponse blind = ledger.request(decodeAsk(1, 0, 500, 300), 0);
         ledger.observe(List.of(seen(7), seen(8)), 10);
         ledger.register(decodeAsk(9, 50, 500, 300), 20);
-        GrantAnswer reserved = ledger.ask(decodeAsk(2, 60, 100, 300), 20);
-        GrantAnswer recovered = ledger.ask(decodeAsk(2, 0, 100, 300), 1_000);
+        GrantResponse reserved = ledger.request(decodeAsk(2, 60, 100, 300), 20);
+        GrantResponse recovered = ledger.request(decodeAsk(2, 0, 100, 300), 1_000);
 
         assertEquals(blind.decision(), GrantDecision.UNAVAILABLE);
         assertEquals(blind.startInMillis(), 1_000);
@@ -192,9 +196,9 @@
     public void prefillQueueIsSerialAndSoIsItsLink() {
         GrantLedger ledger = prefill();
 
-        GrantAnswer first = ledger.ask(prefillAsk(1, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer second = ledger.ask(prefillAsk(2, 1_000, 300_000_000, 1_000), 0);
-        GrantAnswer third = ledger.ask(prefillAsk(3, 1_000, 300_000_000, 950), 0);
+        GrantResponse first = ledger.request(prefillAsk(1, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse second = ledger.request(prefillAsk(2, 1_000, 300_000_000, 1_000), 0);
+        GrantResponse third = ledger.request(prefillAsk(3, 1_000, 300_000_000, 950), 0);
 
         assertEquals(first.endInMillis(), 400);
         assertEquals(second.startInMillis(), 100);
@@ -206,12 +210,12 @@
     @Test
     public void cancelledPrefillLeavesItsGapToOthers() {
         GrantLedger ledger = prefill();
-        ledger.ask(prefillAsk(1, 2_000, 0, 1_000), 0);
-        ledger.ask(prefillAsk(2, 2_000, 0, 1_000), 0);
-        ledger.end(attempt(1), 0);
+        ledger.request(prefillAsk(1, 2_000, 0, 1_000), 0);
+        ledger.request(prefillAsk(2, 2_000, 0, 1_000), 0);
+        ledger.release(attempt(1), 0);
 
-        assertEquals(ledger.ask(prefillAsk(3, 1_000, 0, 1_000), 0).startInMillis(), 0);
-        assertEquals(ledger.ask(prefillAsk(4, 2_000, 0, 1_000), 0).startInMillis(), 400);
+        assertEquals(ledger.request(prefillAsk(3, 1_000, 0, 1_000), 0).startInMillis(), 0);
+        assertEquals(ledger.request(prefillAsk(4, 2_000, 0, 1_000), 0).startInMillis(), 400);
     }
 
     /**
@@ -222,8 +226,8 @@
     @Test
     public void slowPrefillEngineLooksBusy() {
         GrantLedger ledger = prefill();
-        ledger.ask(prefillAsk(1, 1_000, 0, 1_000), 0);
-        ledger.ask(prefillAsk(2, 1_000, 0, 1_000), 0);
+        ledger.request(prefillAsk(1, 1_000, 0, 1_000), 0);
+        ledger.request(prefillAsk(2, 1_000, 0, 1_000), 0);
 
         assertEquals(ledger.summary(150).freeInMillis(), 50 + SETTINGS.overdueMillis());
         assertEquals(ledger.summary(900).freeInMillis(), 2 * SETTINGS.overdueMillis());
@@ -239,14 +243,14 @@
         GrantLedger ample = decode(20);
         GrantLedger scarce = decode(20);
         for (int i = 0; i < 20; i++) {
-            ample.ask(decodeAsk(i, 0, 1, 3_000), 0);
-            scarce.ask(decodeAsk(i, 0, 1, 3_000), 0);
+            ample.request(decodeAsk(i, 0, 1, 3_000), 0);
+            scarce.request(decodeAsk(i, 0, 1, 3_000), 0);
         }
         for (int i = 100; i < 300; i++) {
-            scarce.ask(decodeAsk(i, 0, 1, 3_000), 0);
+            scarce.request(decodeAsk(i, 0, 1, 3_000), 0);
         }
-        long trusting = ample.ask(decodeAsk(20, 0, 3_000, 3_000), 0).startInMillis();
-        long careful = scarce.ask(decodeAsk(20, 0, 3_000, 3_000), 0).startInMillis();
+        long trusting = ample.request(decodeAsk(20, 0, 3_000, 3_000), 0).startInMillis();
+        long careful = scarce.request(decodeAsk(20, 0, 3_000, 3_000), 0).startInMillis();
 
         assertBetween(trusting, 50, 150);
         assertBetween(careful, 2 * trusting, 600);
@@ -256,15 +260,16 @@
     public void limitedSlotsAreNotGiven() {
         GrantLedger ledger = decode(20);
         ledger.limitSlots(1);
-        ledger.ask(decodeAsk(1, 0, 10, 300), 0);
+        ledger.request(decodeAsk(1, 0, 10, 300), 0);
 
-        assertEquals(ledger.ask(decodeAsk(2, 0, 10, 300), 0).decision(), GrantDecision.TOO_LATE);
+        assertEquals(
+                ledger.request(decodeAsk(2, 0, 10, 300), 0).decision(), GrantDecision.TOO_LATE);
         ledger.limitSlots(2);
-        assertEquals(ledger.ask(decodeAsk(2, 0, 10, 300), 0).decision(), GrantDecision.GRANTED);
+        assertEquals(ledger.request(decodeAsk(2, 0, 10, 300), 0).decision(), GrantDecision.GRANTED);
     }
 
-    private static GrantAsk sized(GrantAsk ask, int pieces) {
-        return new GrantAsk(
+    private static GrantRequest sized(GrantRequest ask, int pieces) {
+        return new GrantRequest(
                 ask.attempt(),
                 ask.backend(),
                 ask.role(),
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
@@ -50,7 +50,7 @@
 
     /** Decides how much must be free at an engine beside a generation's place. */
     interface Policy {
-        OptionalLong room(MemoryForecast outlook, EngineWork work, NewWork more);
+        OptionalLong room(MemoryForecast outlook, EngineGenerations work, NewGeneration more);
     }
 
     private static final int HOSTS = 6;
@@ -62,16 +62,16 @@
     private static final long WAIT_MILLIS = 500;
     private static final double CAUTION = 1;
 
-    private record Waiting(long sinceMillis, int host, NewWork work, long length) {}
+    private record Waiting(long sinceMillis, int host, NewGeneration work, long length) {}
 
-    private record Run(long startMillis, NewWork work, long length, int host) {
+    private record Run(long startMillis, NewGeneration work, long length, int host) {
 
         long made(long nowMillis) {
             return Math.min(length, nowMillis - startMillis);
         }
 
         long place() {
-            return work.placeTokens();
+            return work.reservedTokens();
         }
 
         long held(long nowMillis) {
@@ -82,8 +82,8 @@
             return work.promptTokens() + made(nowMillis) > place();
         }
 
-        RunningWork reported(long nowMillis) {
-            return new RunningWork(work.promptTokens() + made(nowMillis), made(nowMillis));
+        RunningGeneration reported(long nowMillis) {
+            return new RunningGeneration(work.promptTokens() + made(nowMillis), made(nowMillis));
         }
     }
 
@@ -91,7 +91,7 @@
     private final Random mRandom;
     private final Policy mPolicy;
     private final List<List<Run>> mEngines = new ArrayList<>();
-    private final List<List<List<RunningWork>>> mHistory = new ArrayList<>();
+    private final List<List<List<RunningGeneration>>> mHistory = new ArrayList<>();
     private final List<OutputLengths> mLengths = new ArrayList<>();
     private final List<Waiting> mWaiting = new ArrayList<>();
     private int mGenerations;
@@ -117,7 +117,7 @@
         return new Outcome(mGenerations, mPlaced, mPreempted);
     }
 
-    private static List<RunningWork> reports(List<Run> engine, long nowMillis) {
+    private static List<RunningGeneration> reports(List<Run> engine, long nowMillis) {
         return engine.stream().map(run -> run.reported(nowMillis)).toList();
     }
 
@@ -149,9 +149,9 @@
         double perStep = perSecond * STEP_MILLIS / 1_000;
         for (double left = perStep; mRandom.nextDouble() < left; left--) {
             long length = drawn(mShape.outputTokens());
-            NewWork work = new NewWork(drawn(mShape.promptTokens()), drawn(length));
+            NewGeneration work = new NewGeneration(drawn(mShape.promptTokens()), drawn(length));
             int host = mRandom.nextInt(HOSTS);
-            mLengths.get(host).begun(work);
+            mLengths.get(host).started(work);
             mWaiting.add(new Waiting(nowMillis, host, work, length));
             mGenerations++;
         }
@@ -177,8 +177,8 @@
     private boolean takenAt(int engine, Waiting waiting, long nowMillis) {
         int lag = (int) (REPORT_LAG_MILLIS / STEP_MILLIS);
         int at = Math.max(0, mHistory.size() - 1 - lag);
-        EngineWork work =
-                new EngineWork(
+        EngineGenerations work =
+                new EngineGenerations(
                         mShape.memoryTokens(), mHistory.get(at).get(engine), REPORT_LAG_MILLIS);
         MemoryForecast outlook = new MemoryForecast(mLengths.get(waiting.host()), CAUTION);
         Run run = new Run(nowMillis, waiting.work(), waiting.length(), waiting.host());
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/MemoryForecastLoadTest.java
@@ -24,7 +24,8 @@
 
     private static final Policy PLACES_ALONE = (outlook, work, more) -> OptionalLong.of(0);
 
-    private static final Policy FORESEEN = (outlook, work, more) -> outlook.room(work, more);
+    private static final Policy FORESEEN =
+            (outlook, work, more) -> outlook.requiredFreeTokens(work, more);
 
     private static final int SHAPES = 12;
 
@@ -92,13 +93,13 @@
     @Test
     public void emptyEngineTakesWhatFitsIt() {
         OutputLengths lengths = new OutputLengths();
-        NewWork work = new NewWork(5_000, 3_000);
-        lengths.begun(work);
+        NewGeneration work = new NewGeneration(5_000, 3_000);
+        lengths.started(work);
         MemoryForecast outlook = new MemoryForecast(lengths, 1);
-        EngineWork empty = new EngineWork(8_000, List.of(), 500);
-        assertTrue(outlook.room(empty, work).isPresent());
-        EngineWork small = new EngineWork(7_900, List.of(), 500);
-        assertEquals(outlook.room(small, work), OptionalLong.empty());
+        EngineGenerations empty = new EngineGenerations(8_000, List.of(), 500);
+        assertTrue(outlook.requiredFreeTokens(empty, work).isPresent());
+        EngineGenerations small = new EngineGenerations(7_900, List.of(), 500);
+        assertEquals(outlook.requiredFreeTokens(small, work), OptionalLong.empty());
     }
 
     /**
@@ -110,8 +111,8 @@
         MemoryForecast outlook = new MemoryForecast(lengthsAround(3_000), 1);
         boolean refused = false;
         for (int runs = 0; runs < 14; runs++) {
-            EngineWork engine = running(runs, 100);
-            boolean taken = outlook.room(engine, USUAL).isPresent();
+            EngineGenerations engine = running(runs, 100);
+            boolean taken = outlook.requiredFreeTokens(engine, USUAL).isPresent();
             assertTrue(!refused || !taken, "taken with " + runs + " after a refusal");
             refused |= !taken;
         }
@@ -122,21 +123,25 @@
     @Test
     public void engineWhoseGenerationsAreAboutToEndTakesOneMore() {
         MemoryForecast outlook = new MemoryForecast(lengthsAround(3_000), 1);
-        assertTrue(outlook.room(running(10, 100), USUAL).isEmpty(), "ten that have just begun");
-        assertTrue(outlook.room(running(10, 4_000), USUAL).isPresent(), "ten at their end");
+        assertTrue(
+                outlook.requiredFreeTokens(running(10, 100), USUAL).isEmpty(),
+                "ten that have just begun");
+        assertTrue(
+                outlook.requiredFreeTokens(running(10, 4_000), USUAL).isPresent(),
+                "ten at their end");
     }
 
-    private static final NewWork USUAL = new NewWork(5_000, 3_000);
+    private static final NewGeneration USUAL = new NewGeneration(5_000, 3_000);
 
-    private static EngineWork running(int runs, long made) {
-        RunningWork one = new RunningWork(USUAL.promptTokens() + made, made);
-        return new EngineWork(80_000, Collections.nCopies(runs, one), 500);
+    private static EngineGenerations running(int runs, long made) {
+        RunningGeneration one = new RunningGeneration(USUAL.promptTokens() + made, made);
+        return new EngineGenerations(80_000, Collections.nCopies(runs, one), 500);
     }
 
     private static OutputLengths lengthsAround(long tokens) {
         OutputLengths lengths = new OutputLengths();
         for (int i = 0; i < 30; i++) {
-            lengths.begun(USUAL);
+            lengths.started(USUAL);
             lengths.ended(USUAL.expectedTokens(), tokens / 2 + i * tokens / 30);
         }
         return lengths;
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/OutputLengthsTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/OutputLengthsTest.java
@@ -20,14 +20,14 @@
     public void expectationsAreCorrectedByWhatGenerationsMade() {
         OutputLengths lengths = new OutputLengths();
         for (int i = 0; i < OutputLengths.ENOUGH; i++) {
-            lengths.begun(new NewWork(1_000, 100));
+            lengths.started(new NewGeneration(1_000, 100));
             lengths.ended(100, 200);
         }
         assertEquals(lengths.expecting(300).outlives(599), 1.0);
         assertEquals(lengths.expecting(300).outlives(600), 0.0);
         assertEquals(lengths.any().outlives(199), 1.0);
         assertEquals(lengths.longest(), 200);
-        assertEquals(lengths.usual(), new NewWork(1_000, 200));
+        assertEquals(lengths.average(), new NewGeneration(1_000, 200));
     }
 
     @Test
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -11,8 +11,8 @@
 import java.util.function.LongFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.cyclamenpaddle.core.id.AttemptId;
-import org.cyclamenpaddle.core.message.GrantAnswer;
 import org.cyclamenpaddle.core.message.GrantDecision;
+import org.cyclamenpaddle.core.message.GrantResponse;
 import org.cyclamenpaddle.core.time.VirtualClock;
 
 /**
@@ -54,7 +54,7 @@
         mMachine = machine;
         performAll(machine.start(mClock.millis()));
         if (callerLeavesAfter > 0) {
-            at(callerLeavesAfter, machine::onCallerGone);
+            at(callerLeavesAfter, machine::onCallerDisconnected);
         }
         while (!mEvents.isEmpty()) {
             Event next = mEvents.poll();
@@ -104,37 +104,37 @@
     }
 
     @Override
-    public void askGrant(RequestEffect.AskGrant effect) {
-        AttemptId attempt = effect.ask().attempt();
+    public void requestGrant(RequestEffect.RequestGrant effect) {
+        AttemptId attempt = effect.request().attempt();
         if (fault()) {
             refuseOrLoseGrant(effect, attempt);
             return;
         }
         mGranted.add(attempt);
-        GrantAnswer answer =
-                new GrantAnswer(
+        GrantResponse answer =
+                new GrantResponse(
                         attempt,
-                        effect.ask().backend(),
+                        effect.request().backend(),
                         GrantDecision.GRANTED,
-                        effect.ask().neededInMillis() + mRandom.nextInt(50),
-                        effect.ask().neededInMillis() + 100);
+                        effect.request().neededInMillis() + mRandom.nextInt(50),
+                        effect.request().neededInMillis() + 100);
         if (!fault()) {
-            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantAnswer(answer, now));
+            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(answer, now));
         }
     }
 
-    private void refuseOrLoseGrant(RequestEffect.AskGrant effect, AttemptId attempt) {
+    private void refuseOrLoseGrant(RequestEffect.RequestGrant effect, AttemptId attempt) {
         if (mRandom.nextBoolean()) {
             GrantDecision decision =
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
-            GrantAnswer answer =
-                    new GrantAnswer(attempt, effect.ask().backend(), decision, 700, 900);
-            at(2, now -> mMachine.onGrantAnswer(answer, now));
+            GrantResponse answer =
+                    new GrantResponse(attempt, effect.request().backend(), decision, 700, 900);
+            at(2, now -> mMachine.onGrantResponse(answer, now));
         }
     }
 
     @Override
-    public void endGrant(RequestEffect.EndGrant effect) {
+    public void releaseGrant(RequestEffect.ReleaseGrant effect) {
         mGranted.remove(effect.attempt());
     }
 
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void countWaste(RequestEffect.CountWaste effect) {
+    public void countWastedPrefill(RequestEffect.CountWastedPrefill effect) {
         // Counted by the engines themselves where it matters.
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -19,7 +19,7 @@
 import org.cyclamenpaddle.core.id.RequestId;
 import org.cyclamenpaddle.core.id.ServiceName;
 import org.cyclamenpaddle.core.id.TeamName;
-import org.cyclamenpaddle.core.message.GrantAsk;
+import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.core.outcome.RetryReason;
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public GrantAsk prefillAsk(
+        public GrantRequest prefillGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public GrantAsk decodeAsk(
+        public GrantRequest decodeGrantRequest(
                 AttemptId attempt,
                 RequestShape shape,
                 int generated,
@@ -170,23 +170,24 @@
             return ask(attempt, choice, BackendRole.DECODE, prefillEndInMillis);
         }
 
-        private static GrantAsk ask(
+        private static GrantRequest ask(
                 AttemptId attempt, Choice choice, BackendRole role, long neededIn) {
-            return new GrantAsk(attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
+            return new GrantRequest(
+                    attempt, choice.backend(), role, 64, 1, 1_000, neededIn, 500, 400);
         }
 
         @Override
-        public boolean mayRetry(RequestShape shape, RetryReason reason, long now) {
+        public boolean tryAcquireRetry(RequestShape shape, RetryReason reason, long now) {
             return mRandom.nextInt(20) != 0;
         }
 
         @Override
-        public void backendUnreached(BackendId backend, long now) {
+        public void backendUnreachable(BackendId backend, long now) {
             // The exclusion set of the machine is enough here.
         }
 
         @Override
-        public void backendDied(RequestShape shape, BackendId backend, long now) {
+        public void backendCrashed(RequestShape shape, BackendId backend, long now) {
             // The exclusion set of the machine is enough here.
         }
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservationWaitLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservationWaitLoadTest.java
@@ -28,7 +28,7 @@
 
     private static final int PLACES = 44;
     private static final long RUN_MILLIS = 3_600;
-    private static final CallerTerms TERMS = new CallerTerms(900, 3_600);
+    private static final CallerLimits TERMS = new CallerLimits(900, 3_600);
     private static final long LENGTH_MILLIS = 40_000;
     private static final long BURST_FROM = 10_000;
     private static final long BURST_TO = 16_000;
@@ -87,7 +87,7 @@
     /** A request that comes back asks often again before it would be refused for good. */
     @Test
     public void comeBackHurriesAtTheEndOfItsWait() {
-        ReservationWait search = ReservationWait.begin(0, TERMS, RetryStage.COME_BACK);
+        ReservationWait search = ReservationWait.begin(0, TERMS, RetryStage.RETURNING);
         long hurryMillis = (long) (search.waitMillis() * RetryStage.BACK_HURRY_SHARE);
         long hurries = search.waitMillis() - hurryMillis;
         assertTrue(search.pauseMillis(0) == RetryStage.BACK_PAUSE_MILLIS);
@@ -102,10 +102,10 @@
      */
     @Test
     public void requestThatWasSentAlreadyAsksOftenAndLong() {
-        ReservationWait repeat = ReservationWait.begin(0, TERMS, RetryStage.REPEAT);
+        ReservationWait repeat = ReservationWait.begin(0, TERMS, RetryStage.RETRY);
         ReservationWait first = ReservationWait.begin(0, TERMS, RetryStage.FIRST);
         assertTrue(repeat.pauseMillis(0) == first.pauseMillis(0));
-        assertTrue(repeat.mayGoOn(4 * first.waitMillis()));
+        assertTrue(repeat.mayRetry(4 * first.waitMillis()));
     }
 
     private static Outcome play(
@@ -131,16 +131,16 @@
                 ends.add(now + RUN_MILLIS);
                 served++;
                 inTime += ask.search().stage() == RetryStage.FIRST ? 1 : 0;
-            } else if (ask.search().mayGoOn(now)) {
+            } else if (ask.search().mayRetry(now)) {
                 long next = now + ASK_MILLIS + pause.applyAsLong(ask.search(), now);
                 asks.add(new Ask(next, ask.search()));
             } else if (ask.search().stage() == RetryStage.FIRST) {
                 long back =
                         now
                                 + (long)
-                                        (ClientRetryDelay.leastMillis(RUN_MILLIS, TERMS)
+                                        (ClientRetryDelay.minMillis(RUN_MILLIS, TERMS)
                                                 * (1 + random.nextDouble()));
-                asks.add(new Ask(back, ReservationWait.begin(back, TERMS, RetryStage.COME_BACK)));
+                asks.add(new Ask(back, ReservationWait.begin(back, TERMS, RetryStage.RETURNING)));
             }
         }
         return new Outcome(arrivals.size(), inTime, served);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservePacingLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservePacingLoadTest.java
@@ -9,7 +9,7 @@
 /** Plays the search of one request while every engine of a fleet is full. */
 public class ReservePacingLoadTest {
 
-    private static final CallerTerms TERMS = new CallerTerms(900, 3_600);
+    private static final CallerLimits TERMS = new CallerLimits(900, 3_600);
     private static final long ASK_MILLIS = 5;
 
     /** An engine that has just said that it is full is not asked again for so long. */
@@ -36,7 +36,7 @@
     @Test(dataProvider = "fleets")
     public void comeBackAsksAtALowerRateThanAFirstRequest(int engines) {
         double first = rate(engines, RetryStage.FIRST);
-        double back = rate(engines, RetryStage.COME_BACK);
+        double back = rate(engines, RetryStage.RETURNING);
         assertTrue(back < first / 2, back + " asks in a ms against " + first);
     }
 
@@ -66,8 +66,8 @@
                 now += ASK_MILLIS;
                 asks++;
                 fullUntil[engine] = now + FULL_MILLIS;
-                pacing.turnedAway();
-            } else if (!search.mayGoOn(now)) {
+                pacing.rejected();
+            } else if (!search.mayRetry(now)) {
                 return asks;
             } else {
                 now += pacing.pauseMillis(search, now);
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReturningClientsTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReturningClientsTest.java
@@ -12,41 +12,41 @@
 
     /** Least time that a first try and the wait after it take. */
     private static final long SPENT =
-            ReservationWait.begin(0, new CallerTerms(900, 3_600), RetryStage.FIRST).waitMillis()
-                    + ClientRetryDelay.leastMillis(0, new CallerTerms(900, 3_600));
+            ReservationWait.begin(0, new CallerLimits(900, 3_600), RetryStage.FIRST).waitMillis()
+                    + ClientRetryDelay.minMillis(0, new CallerLimits(900, 3_600));
 
     /** First waits spread by a seventh; none of them may be taken for a come-back. */
     @Test
     public void firstWaitsOfDifferentCallersAreNoComeBacks() {
         ReturningClients waits = new ReturningClients();
         for (long wait = 12_000; wait < 14_000; wait += 50) {
-            assertFalse(waits.comesBack(ROUTE, wait, SPENT, wait), "first wait of " + wait);
+            assertFalse(waits.isReturning(ROUTE, wait, SPENT, wait), "first wait of " + wait);
         }
-        assertFalse(waits.comesBack(ROUTE, 12_000, SPENT, 14_000));
+        assertFalse(waits.isReturning(ROUTE, 12_000, SPENT, 14_000));
     }
 
     @Test
     public void callerThatWasToldToComeBackIsKnownByWhatItHasSpent() {
         ReturningClients waits = new ReturningClients();
-        waits.comesBack(ROUTE, 14_000, SPENT, 0);
+        waits.isReturning(ROUTE, 14_000, SPENT, 0);
         long spent = 2_680;
-        assertTrue(waits.comesBack(ROUTE, 14_000 - spent, SPENT, spent));
+        assertTrue(waits.isReturning(ROUTE, 14_000 - spent, SPENT, spent));
     }
 
     @Test
     public void routesAreJudgedApart() {
         ReturningClients waits = new ReturningClients();
-        waits.comesBack(ROUTE, 14_000, SPENT, 0);
-        assertFalse(waits.comesBack("r-2", 3_000, SPENT, 1));
+        waits.isReturning(ROUTE, 14_000, SPENT, 0);
+        assertFalse(waits.isReturning("r-2", 3_000, SPENT, 1));
     }
 
     /** Callers of a route become less patient for good: they must not count as come-backs. */
     @Test
     public void longerWaitsOfBeforeAreForgotten() {
         ReturningClients waits = new ReturningClients();
-        waits.comesBack(ROUTE, 14_000, SPENT, 0);
-        assertTrue(waits.comesBack(ROUTE, 8_000, SPENT, 1_000));
-        assertTrue(waits.comesBack(ROUTE, 8_000, SPENT, ReturningClients.KEPT_MILLIS));
-        assertFalse(waits.comesBack(ROUTE, 8_000, SPENT, 2 * ReturningClients.KEPT_MILLIS));
+        waits.isReturning(ROUTE, 14_000, SPENT, 0);
+        assertTrue(waits.isReturning(ROUTE, 8_000, SPENT, 1_000));
+        assertTrue(waits.isReturning(ROUTE, 8_000, SPENT, ReturningClients.KEPT_MILLIS));
+        assertFalse(waits.isReturning(ROUTE, 8_000, SPENT, 2 * ReturningClients.KEPT_MILLIS));
     }
 }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
@@ -22,8 +22,8 @@
         RetryBudget budget = new RetryBudget(TENTH);
         int retries = 0;
         for (int i = 0; i < 10_000; i++) {
-            budget.freshRequest(SERVICE, i);
-            retries += budget.tryTake(SERVICE, i) ? 1 : 0;
+            budget.recordRequest(SERVICE, i);
+            retries += budget.tryAcquire(SERVICE, i) ? 1 : 0;
         }
         assertTrue(retries >= 1_000 && retries <= 1_005, "retries " + retries);
     }
@@ -31,9 +31,9 @@
     @Test
     public void quietServiceRetriesByTheFloor() {
         RetryBudget budget = new RetryBudget(new RetryBudget.Settings(0, 1, 1));
-        assertTrue(budget.tryTake(SERVICE, 0));
-        assertEquals(budget.tryTake(SERVICE, 999), false);
-        assertTrue(budget.tryTake(SERVICE, 1_000));
+        assertTrue(budget.tryAcquire(SERVICE, 0));
+        assertEquals(budget.tryAcquire(SERVICE, 999), false);
+        assertTrue(budget.tryAcquire(SERVICE, 1_000));
     }
 
     @Test
@@ -57,8 +57,8 @@
     @Test
     public void adjustedBudgetKeepsWithinItsNewBound() {
         RetryBudget budget = new RetryBudget(TENTH);
-        assertEquals(budget.left(SERVICE, 0), 5.0);
+        assertEquals(budget.remaining(SERVICE, 0), 5.0);
         budget.adjust(new RetryBudget.Settings(0.1, 0, 2));
-        assertEquals(budget.left(SERVICE, 0), 2.0);
+        assertEquals(budget.remaining(SERVICE, 0), 2.0);
     }
 }
