--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/CyclamenctlMain.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/CyclamenctlMain.java
@@ -11,7 +11,7 @@
 import org.cyclamenpaddle.ctl.command.Cyclamenctl;
 import org.cyclamenpaddle.ctl.command.Session;
 
-/** The program {@code cyclamenctl}. */
+/** Entry point of {@code cyclamenctl}. */
 public final class CyclamenctlMain {
 
     private static final int MAX_USER_LENGTH = 40;
@@ -19,9 +19,9 @@
     private CyclamenctlMain() {}
 
     /**
-     * Runs one command and exits with its code.
+     * Runs one command and exits with its exit code.
      *
-     * @param line words and options
+     * @param line command words and options
      */
     public static void main(String[] line) {
         Cyclamenctl program = new Cyclamenctl(CyclamenctlMain::session, System.out, System.err);
@@ -36,11 +36,14 @@
                 millis -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
-    /** Returns a new change id that begins with the operator's name, to tell who won a race. */
+    /**
+     * Returns a new change id that starts with the operator's name, to identify the winner of a
+     * conflict.
+     */
     private static ChangeId changeId() {
         String user = System.getProperty("user.name", "").replaceAll("[^A-Za-z0-9]", "");
         String name = user.isEmpty() ? "operator" : user;
-        String start = name.substring(0, Math.min(MAX_USER_LENGTH, name.length()));
-        return new ChangeId(start + ":" + UUID.randomUUID());
+        String prefix = name.substring(0, Math.min(MAX_USER_LENGTH, name.length()));
+        return new ChangeId(prefix + ":" + UUID.randomUUID());
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/ExitCode.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/ExitCode.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.ctl.report;
 
-/** Exit codes of {@code cyclamenctl}; a number is never given another meaning. */
+/** Exit codes of {@code cyclamenctl}; the meaning of a number never changes. */
 public enum ExitCode {
     DONE(0, "The command did what was asked."),
     USAGE(2, "The command line is wrong; nothing was sent."),
@@ -20,12 +20,12 @@
         mMeaning = meaning;
     }
 
-    /** Returns the number that the process exits with. */
+    /** Returns the exit status of the process. */
     public int number() {
         return mNumber;
     }
 
-    /** Returns one sentence for the help text. */
+    /** Returns the description in the help text, one sentence. */
     public String meaning() {
         return mMeaning;
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/Json.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/Json.java
@@ -7,24 +7,22 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 
-/** JSON documents of the command line. */
+/** Creates and parses JSON documents. */
 public final class Json {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
 
-    /** Returns a new object. */
     public static ObjectNode object() {
         return MAPPER.createObjectNode();
     }
 
-    /** Returns a new array. */
     public static ArrayNode array() {
         return MAPPER.createArrayNode();
     }
 
-    /** Returns the document in {@code text}; empty if it is no JSON. */
+    /** Parses {@code text}; empty if it is not valid JSON. */
     public static Optional<JsonNode> read(String text) {
         try {
             return Optional.of(MAPPER.readTree(text));
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/OutputFormat.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/OutputFormat.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Form in which results and errors are printed. */
+/** Output format of results and errors. */
 public enum OutputFormat {
-    /** Tables and sentences for people. */
+    /** Human-readable tables and messages. */
     TABLE {
         @Override
         public void print(Report report, PrintStream out) {
@@ -39,13 +39,11 @@
         }
     };
 
-    /** Prints a result. */
     public abstract void print(Report report, PrintStream out);
 
-    /** Prints an error. */
     public abstract void print(CommandError error, PrintStream err);
 
-    /** Returns the word of the command line for this format. */
+    /** Returns the value of the {@code --output} option for this format. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/Report.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/Report.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Result of a command in both of its forms.
+ * Result of a command in both output formats.
  *
  * @param document for {@code --output json}
  * @param tables for {@code --output table}
@@ -15,7 +15,7 @@
         tables = List.copyOf(tables);
     }
 
-    /** Returns a report of one table. */
+    /** Returns a report with a single table. */
     public static Report of(JsonNode document, ReportTable table) {
         return new Report(document, List.of(table));
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/ReportTable.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/ReportTable.java
@@ -8,21 +8,22 @@
 import java.util.stream.Stream;
 
 /**
- * A table of text.
+ * A table of text cells.
  *
  * @param headers names of the columns
- * @param rows cells, as many in each row as there are columns
+ * @param rows cells; each row has one cell per column
  */
 public record ReportTable(List<String> headers, List<List<String>> rows) {
 
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     public ReportTable {
         headers = List.copyOf(headers);
         rows = List.copyOf(rows);
         int columns = headers.size();
         if (rows.stream().anyMatch(row -> row.size() != columns)) {
-            throw new IllegalArgumentException("a row has not " + columns + " cells: " + rows);
+            throw new IllegalArgumentException(
+                    "expected " + columns + " cells in each row, got " + rows);
         }
     }
 
@@ -30,7 +31,7 @@
      * Returns a table with a row for each element of an array and a column for each member.
      *
      * @param array JSON array of objects
-     * @param members names of members, also the headers
+     * @param members names of members, also used as headers
      */
     public static ReportTable of(JsonNode array, String... members) {
         List<List<String>> rows =
@@ -44,7 +45,7 @@
         return new ReportTable(List.of(members), rows);
     }
 
-    /** Returns the lines of this table, columns aligned, without blanks at the ends. */
+    /** Returns the lines of this table with aligned columns and without trailing spaces. */
     public List<String> lines() {
         List<Integer> widths = IntStream.range(0, headers.size()).mapToObj(this::width).toList();
         return Stream.concat(Stream.of(headers), rows.stream())
@@ -60,7 +61,7 @@
     private static String line(List<String> row, List<Integer> widths) {
         return IntStream.range(0, row.size())
                 .mapToObj(i -> pad(row.get(i), widths.get(i)))
-                .collect(Collectors.joining(GAP))
+                .collect(Collectors.joining(COLUMN_SEPARATOR))
                 .stripTrailing();
     }
 
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/package-info.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/report/package-info.java
@@ -1,2 +1,2 @@
-/** Results and errors of commands, and their forms as tables or JSON. */
+/** Results and errors of commands, and their output as tables or JSON. */
 package org.cyclamenpaddle.ctl.report;
