--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/Change.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/Change.java
@@ -8,19 +8,20 @@
 /**
  * A change of one object.
  *
- * @param key which
+ * @param key key of the object
  * @param spec the new spec; empty to delete
- * @param expected the version that the operator saw; 0 if there was none
- * @param id identity, by which a lost answer is settled
+ * @param expectedVersion version that the object must be at; 0 if it must not exist
+ * @param id unique id, which resolves the outcome if the response is lost
  */
-public record Change(ObjectKey key, Optional<JsonNode> spec, long expected, ChangeId id) {
+public record Change(ObjectKey key, Optional<JsonNode> spec, long expectedVersion, ChangeId id) {
 
     public Change {
         if (key == null || spec == null || id == null) {
-            throw new IllegalArgumentException("change needs key, spec and id");
+            throw new IllegalArgumentException("key, spec and id must not be null");
         }
-        if (expected < 0) {
-            throw new IllegalArgumentException("expected version " + expected + " is negative");
+        if (expectedVersion < 0) {
+            throw new IllegalArgumentException(
+                    "expected version " + expectedVersion + " is negative");
         }
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/Servers.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/FailoverClient.java
@@ -16,41 +16,41 @@
 import org.cyclamenpaddle.ctl.report.CommandError;
 import org.cyclamenpaddle.ctl.report.ExitCode;
 
-/** Entry hosts that are tried in turn. */
-final class Servers {
+/** HTTP client that tries a list of entry hosts in order. */
+final class FailoverClient {
 
-    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
 
     private final List<Endpoint> mEndpoints;
 
-    Servers(List<Endpoint> endpoints) {
+    FailoverClient(List<Endpoint> endpoints) {
         if (endpoints.isEmpty()) {
-            throw new IllegalArgumentException("at least one entry host is needed");
+            throw new IllegalArgumentException("expected at least one entry host, got none");
         }
         mEndpoints = List.copyOf(endpoints);
     }
 
-    /** Reads from the first server that answers at all. */
+    /** Reads from the first entry host that responds. */
     Either<CommandError, JsonNode> read(String path) {
-        return readFrom(path, false);
+        return readInTurn(path, false);
     }
 
-    /** Reads from the first server that answers with other than not found. */
-    Either<CommandError, JsonNode> readWhereKnown(String path) {
-        return readFrom(path, true);
+    /** Reads from the first entry host that responds with a status other than 404. */
+    Either<CommandError, JsonNode> readFirstFound(String path) {
+        return readInTurn(path, true);
     }
 
-    private Either<CommandError, JsonNode> readFrom(String path, boolean seek) {
+    private Either<CommandError, JsonNode> readInTurn(String path, boolean skipNotFound) {
         Either<CommandError, JsonNode> last = Either.left(unreachable());
         for (Endpoint endpoint : mEndpoints) {
-            Try<AggregatedHttpResponse> sent =
+            Try<AggregatedHttpResponse> response =
                     send(endpoint, RequestHeaders.of(HttpMethod.GET, path), "");
-            if (sent.isFailure()) {
+            if (response.isFailure()) {
                 continue;
             }
-            last = Answer.toRead(sent.get());
-            boolean unknown = last.isLeft() && last.getLeft().code() == ExitCode.NOT_FOUND;
-            if (!seek || !unknown) {
+            last = ResponseReader.queryResult(response.get());
+            boolean notFound = last.isLeft() && last.getLeft().code() == ExitCode.NOT_FOUND;
+            if (!skipNotFound || !notFound) {
                 return last;
             }
         }
@@ -58,22 +58,23 @@
     }
 
     /**
-     * Sends a change to the first server to which a connection can be had.
+     * Sends a change to the first entry host that accepts a connection.
      *
-     * <p>Another server is tried only as long as no byte of the change has left, since a change
-     * that was sent may have been made.
+     * <p>Another entry host is tried only if no byte of the change was sent, since a change that
+     * was sent may have been applied.
      *
-     * @return left if the change was sent and no answer came that says what became of it
+     * @return left if the change was sent and no response with its outcome was received
      */
     Either<Throwable, Either<CommandError, JsonNode>> change(RequestHeaders headers, String body) {
         for (Endpoint endpoint : mEndpoints) {
-            Try<AggregatedHttpResponse> sent = send(endpoint, headers, body);
-            if (sent.isSuccess()) {
-                return Answer.said(sent.get())
-                        ? Either.right(Answer.toChange(sent.get()))
-                        : Either.left(new IllegalStateException("status " + sent.get().status()));
+            Try<AggregatedHttpResponse> response = send(endpoint, headers, body);
+            if (response.isSuccess()) {
+                return ResponseReader.isJsonObject(response.get())
+                        ? Either.right(ResponseReader.changeResult(response.get()))
+                        : Either.left(
+                                new IllegalStateException("status " + response.get().status()));
             }
-            Throwable cause = Exceptions.peel(sent.getCause());
+            Throwable cause = Exceptions.peel(response.getCause());
             if (!(cause instanceof UnprocessedRequestException)) {
                 return Either.left(cause);
             }
@@ -85,12 +86,12 @@
             Endpoint endpoint, RequestHeaders headers, String body) {
         WebClient client =
                 WebClient.builder(SessionProtocol.HTTP, endpoint)
-                        .responseTimeout(ANSWER_TIMEOUT)
+                        .responseTimeout(RESPONSE_TIMEOUT)
                         .build();
         return Try.of(() -> client.execute(headers, body).aggregate().join());
     }
 
     private CommandError unreachable() {
-        return CommandError.of(ExitCode.UNREACHABLE, "no entry host answers at " + mEndpoints);
+        return CommandError.of(ExitCode.UNREACHABLE, "no entry host responded at " + mEndpoints);
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/HttpOperatorClient.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/HttpOperatorClient.java
@@ -19,13 +19,13 @@
 import org.cyclamenpaddle.ctl.report.ExitCode;
 import org.cyclamenpaddle.ctl.report.Json;
 
-/** Client of the operators' API over HTTP. */
+/** HTTP client of the operators' API. */
 public final class HttpOperatorClient implements OperatorClient {
 
     private static final String PREFIX = "/operator/v1";
     private static final String CHANGE_ID = "x-change-id";
 
-    private final Servers mServers;
+    private final FailoverClient mClient;
 
     /**
      * Creates a client.
@@ -33,12 +33,12 @@
      * @param endpoints entry hosts in the order in which they are tried, at least one
      */
     public HttpOperatorClient(List<Endpoint> endpoints) {
-        mServers = new Servers(endpoints);
+        mClient = new FailoverClient(endpoints);
     }
 
     @Override
     public Either<CommandError, List<ObjectDocument>> list(ObjectKind kind) {
-        return mServers.read(PREFIX + "/objects/" + kind.code())
+        return mClient.read(PREFIX + "/objects/" + kind.code())
                 .map(
                         document ->
                                 document.path("objects")
@@ -50,7 +50,7 @@
     @Override
     public Either<CommandError, Optional<ObjectDocument>> find(ObjectKey key) {
         Either<CommandError, Optional<ObjectDocument>> found =
-                mServers.read(path(key)).map(node -> Optional.of(ObjectDocument.of(node)));
+                mClient.read(path(key)).map(node -> Optional.of(ObjectDocument.of(node)));
         boolean absent = found.isLeft() && found.getLeft().code() == ExitCode.NOT_FOUND;
         return absent ? Either.right(Optional.empty()) : found;
     }
@@ -62,13 +62,13 @@
                 RequestHeaders.builder(method, path(change.key()))
                         .contentType(MediaType.JSON)
                         .add(CHANGE_ID, change.id().value());
-        if (change.expected() == 0) {
+        if (change.expectedVersion() == 0) {
             headers.add(HttpHeaderNames.IF_NONE_MATCH, "*");
         } else {
-            headers.add(HttpHeaderNames.IF_MATCH, Long.toString(change.expected()));
+            headers.add(HttpHeaderNames.IF_MATCH, Long.toString(change.expectedVersion()));
         }
-        return mServers.change(headers.build(), body(change))
-                .fold(lost -> settle(change), answer -> answer)
+        return mClient.change(headers.build(), body(change))
+                .fold(lost -> resolveOutcome(change), response -> response)
                 .map(document -> document.path("version").asLong());
     }
 
@@ -80,41 +80,44 @@
                                 PREFIX + "/backends/" + segment(backend) + "/drain")
                         .add(CHANGE_ID, id.value())
                         .build();
-        return mServers.change(headers, "")
-                .fold(lost -> Either.<CommandError, JsonNode>left(unknown(id)), answer -> answer)
+        return mClient.change(headers, "")
+                .fold(
+                        lost -> Either.<CommandError, JsonNode>left(outcomeUnknown(id)),
+                        response -> response)
                 .map(ObjectDocument::of);
     }
 
     @Override
     public Either<CommandError, JsonNode> status() {
-        return mServers.read(PREFIX + "/status");
+        return mClient.read(PREFIX + "/status");
     }
 
     @Override
     public Either<CommandError, JsonNode> explain(String request) {
-        return mServers.readWhereKnown(PREFIX + "/explain/" + segment(request));
+        return mClient.readFirstFound(PREFIX + "/explain/" + segment(request));
     }
 
     /**
-     * Learns what became of a change whose answer was lost.
+     * Resolves the outcome of a change whose response was lost by reading the object.
      *
-     * <p>Safeguard: sending it anew would be refused by its own first run, and the operator would
-     * be told of a conflict with himself. The change id in the object says whose change it is.
+     * <p>Safeguard: the change is not sent again. If it was applied the first time, the retry would
+     * fail its version check and report a conflict with the operator's own change. The change id in
+     * the object identifies the change that wrote it.
      */
-    private Either<CommandError, JsonNode> settle(Change change) {
+    private Either<CommandError, JsonNode> resolveOutcome(Change change) {
         return find(change.key())
-                .mapLeft(unreachable -> unknown(change.id()))
+                .mapLeft(unreachable -> outcomeUnknown(change.id()))
                 .flatMap(
                         found ->
                                 found.filter(o -> o.changeId().equals(change.id().value()))
                                         .<Either<CommandError, JsonNode>>map(
                                                 o -> Either.right(version(o.version())))
-                                        .orElseGet(() -> Either.left(unknown(change.id()))));
+                                        .orElseGet(() -> Either.left(outcomeUnknown(change.id()))));
     }
 
-    private static CommandError unknown(ChangeId id) {
+    private static CommandError outcomeUnknown(ChangeId id) {
         return CommandError.of(
-                ExitCode.UNKNOWN, "no answer came to change " + id + "; it may have been made");
+                ExitCode.UNKNOWN, "no response to change " + id + "; it may have been applied");
     }
 
     private static JsonNode version(long version) {
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/ObjectDocument.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/ObjectDocument.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A configuration object as an entry host shows it.
+ * A configuration object as returned by an entry host.
  *
- * @param name its name
- * @param version its version
- * @param changeId the change that wrote it
- * @param spec its spec
+ * @param name name of the object
+ * @param version version of the object
+ * @param changeId id of the change that wrote this version
+ * @param spec spec of the object
  */
 public record ObjectDocument(String name, long version, String changeId, JsonNode spec) {
 
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/OperatorClient.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/OperatorClient.java
@@ -9,33 +9,33 @@
 import org.cyclamenpaddle.core.id.ChangeId;
 import org.cyclamenpaddle.ctl.report.CommandError;
 
-/** What commands ask of the fleet. */
+/** Client of the operators' API. */
 public interface OperatorClient {
 
-    /** Returns the objects of a kind in the order of their names. */
+    /** Returns the objects of a kind, sorted by name. */
     Either<CommandError, List<ObjectDocument>> list(ObjectKind kind);
 
     /** Returns an object; empty if there is none. */
     Either<CommandError, Optional<ObjectDocument>> find(ObjectKey key);
 
     /**
-     * Makes a change.
+     * Applies a change.
      *
-     * @param change made at most once, also when its answer is lost
+     * @param change change to apply; applied at most once, even if its response is lost
      * @return version of the object after the change
      */
     Either<CommandError, Long> change(Change change);
 
     /**
-     * Asks a backend server to drain.
+     * Drains a backend server.
      *
-     * @param backend its name
-     * @param id identity of the change
+     * @param backend name of the backend server
+     * @param id id of the change
      * @return the object after the change
      */
     Either<CommandError, ObjectDocument> drain(String backend, ChangeId id);
 
-    /** Returns the status document of the first entry host that answers. */
+    /** Returns the status document of the first entry host that responds. */
     Either<CommandError, JsonNode> status();
 
     /** Returns the explanation of a request by the first entry host that knows it. */
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/Answer.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/ResponseReader.java
@@ -8,26 +8,28 @@
 import org.cyclamenpaddle.ctl.report.ExitCode;
 import org.cyclamenpaddle.ctl.report.Json;
 
-/** Reading of an entry host's answer. */
-final class Answer {
+/** Converts HTTP responses of an entry host to documents or command errors. */
+final class ResponseReader {
 
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
 
-    private Answer() {}
+    private ResponseReader() {}
 
-    /** Returns whether the answer is a document, so that it says what became of a change. */
-    static boolean said(AggregatedHttpResponse response) {
+    /** Returns whether the body is a JSON object, which then contains the outcome of a change. */
+    static boolean isJsonObject(AggregatedHttpResponse response) {
         return Json.read(response.contentUtf8()).filter(JsonNode::isObject).isPresent();
     }
 
-    /** Reads the answer to a question; whatever is refused of it, nothing was changed. */
-    static Either<CommandError, JsonNode> toRead(AggregatedHttpResponse response) {
+    /**
+     * Reads the response to a query; an error never has an unknown outcome, as nothing is changed.
+     */
+    static Either<CommandError, JsonNode> queryResult(AggregatedHttpResponse response) {
         return read(response, false);
     }
 
-    /** Reads the answer to a change, of which it may be unknown whether it was made. */
-    static Either<CommandError, JsonNode> toChange(AggregatedHttpResponse response) {
+    /** Reads the response to a change; an error may report that its outcome is unknown. */
+    static Either<CommandError, JsonNode> changeResult(AggregatedHttpResponse response) {
         return read(response, true);
     }
 
@@ -60,20 +62,20 @@
     }
 
     private static String message(JsonNode problem) {
-        String said = problem.path("title").asText() + " " + problem.path("detail").asText();
+        String summary = problem.path("title").asText() + " " + problem.path("detail").asText();
         JsonNode winner = problem.path("winner");
-        String won =
+        String winnerText =
                 winner.isMissingNode()
                         ? ""
                         : "; change "
                                 + winner.path("changeId").asText()
                                 + " won with version "
                                 + winner.path("version").asText();
-        return problem.path("reason").asText("refused") + ": " + said.strip() + won;
+        return problem.path("reason").asText("refused") + ": " + summary.strip() + winnerText;
     }
 
     private static CommandError unreadable(int status) {
         return CommandError.of(
-                ExitCode.REFUSED, "the answer with status " + status + " is no JSON document");
+                ExitCode.REFUSED, "response with status " + status + " is not a JSON document");
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/package-info.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/client/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the operators' API that tries one entry host after another. */
+/** Client of the operators' API with failover between entry hosts. */
 package org.cyclamenpaddle.ctl.client;
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ApplyCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ApplyCommand.java
@@ -14,7 +14,10 @@
 import org.cyclamenpaddle.ctl.report.Report;
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
-/** Creates or changes the objects of a file; one try each, and none after the first failure. */
+/**
+ * Creates or changes the objects of a file. Each change is attempted once; the first failure stops
+ * the command.
+ */
 final class ApplyCommand {
 
     private ApplyCommand() {}
@@ -31,16 +34,16 @@
                     CommandError.of(
                             ExitCode.USAGE, "--expect-version takes a file with one object"));
         }
-        ArrayNode done = Json.array();
+        ArrayNode applied = Json.array();
         for (ObjectFile.Declaration declaration : declarations) {
             Either<CommandError, ObjectNode> result = apply(declaration, arguments, session);
             if (result.isLeft()) {
-                return Either.left(failed(declaration, result.getLeft(), done.size()));
+                return Either.left(failed(declaration, result.getLeft(), applied.size()));
             }
-            done.add(result.get());
+            applied.add(result.get());
         }
         return Either.right(
-                Report.of(done, ReportTable.of(done, "kind", "name", "result", "version")));
+                Report.of(applied, ReportTable.of(applied, "kind", "name", "result", "version")));
     }
 
     private static Either<CommandError, ObjectNode> apply(
@@ -55,15 +58,15 @@
             Optional<ObjectDocument> stored,
             Arguments arguments,
             Session session) {
-        Optional<JsonNode> old = stored.map(ObjectDocument::spec);
+        Optional<JsonNode> currentSpec = stored.map(ObjectDocument::spec);
         JsonNode spec =
-                normal(
+                normalized(
                         SpecDefaults.complete(
-                                declaration.key().kind(), declaration.declared(), old));
-        long seen = stored.map(ObjectDocument::version).orElse(0L);
-        long expected = arguments.expectedVersion().orElse(seen);
-        if (old.isPresent() && old.get().equals(spec) && expected == seen) {
-            return Either.right(row(declaration, "unchanged", seen));
+                                declaration.key().kind(), declaration.declared(), currentSpec));
+        long current = stored.map(ObjectDocument::version).orElse(0L);
+        long expected = arguments.expectedVersion().orElse(current);
+        if (currentSpec.isPresent() && currentSpec.get().equals(spec) && expected == current) {
+            return Either.right(row(declaration, "unchanged", current));
         }
         Change change =
                 new Change(
@@ -72,8 +75,11 @@
         return session.client().change(change).map(version -> row(declaration, result, version));
     }
 
-    /** Reads the spec back from its text, so that its numbers compare with those of an answer. */
-    private static JsonNode normal(ObjectNode spec) {
+    /**
+     * Serializes and parses the spec, so that its numbers have the same node types as those of a
+     * response and compare as equal.
+     */
+    private static JsonNode normalized(ObjectNode spec) {
         return Json.read(spec.toString()).orElseThrow();
     }
 
@@ -87,7 +93,7 @@
     }
 
     private static CommandError failed(
-            ObjectFile.Declaration declaration, CommandError error, int done) {
+            ObjectFile.Declaration declaration, CommandError error, int applied) {
         String message =
                 declaration.key().kind().code()
                         + " "
@@ -95,7 +101,7 @@
                         + ": "
                         + error.message()
                         + " ("
-                        + done
+                        + applied
                         + " objects before it were applied, none after it)";
         return new CommandError(error.code(), message, error.problem());
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/CtlCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/CtlCommand.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.ctl.report.CommandError;
 import org.cyclamenpaddle.ctl.report.Report;
 
-/** Every command: its words, its options, its help text and what it does. */
+/** The commands: words, options, help text and action of each. */
 enum CtlCommand {
     LIST("KIND list", "List the objects of a kind.", Set.of(), ObjectCommands::list),
     SHOW("KIND show NAME", "Show an object with its version.", Set.of(), ObjectCommands::show),
@@ -21,7 +21,7 @@
             ApplyCommand::run),
     DELETE(
             "KIND delete NAME",
-            "Delete an object that no other object names.",
+            "Delete an object that no other object references.",
             Set.of(CtlOption.EXPECT_VERSION),
             ObjectCommands::delete),
     APPLY(
@@ -32,12 +32,12 @@
             ApplyCommand::run),
     USE(
             "preset use NAME",
-            "Put a preset in force in place of the one that is.",
+            "Put a preset in force, replacing the one currently in force.",
             Set.of(CtlOption.WAIT, CtlOption.TIMEOUT, CtlOption.EXPECT_VERSION),
             PresetUseCommand::run),
     DRAIN(
             "backend drain NAME",
-            "Give a backend server no new work; what it has in flight goes on.",
+            "Stop sending new requests to a backend server; requests in flight are completed.",
             Set.of(),
             ObjectCommands::drain),
     STATUS(
@@ -47,20 +47,20 @@
             StatusCommand::run),
     EXPLAIN(
             "explain REQUEST",
-            "Show what was decided for a request and why; the entry hosts given by --server are"
-                    + " asked in turn.",
+            "Show the decisions for a request and their reasons; the entry hosts given by --server"
+                    + " are queried in turn.",
             Set.of(),
             ExplainCommand::run),
     EXPLAIN_LOG(
             "log explain REQUEST",
-            "Show what relays logged of a request, and what they believed of the backend servers"
-                    + " and the store just before; reads a file and asks no host.",
+            "Show what relays logged about a request, and the state changes of the backend servers"
+                    + " and the store just before; reads a file and contacts no host.",
             Set.of(CtlOption.FILE),
             LogExplainCommand::run),
     REPORT_LOG(
             "log report",
-            "Show from relays' logs what became of requests, by second and by route, and why those"
-                    + " that were not answered ended; reads a file and asks no host.",
+            "Summarize the outcomes of requests from relay logs, by second and by route, with the"
+                + " reasons of requests that did not complete; reads a file and contacts no host.",
             Set.of(CtlOption.FILE),
             LogReportCommand::run);
 
@@ -81,17 +81,17 @@
         mAction = action;
     }
 
-    /** Returns the command that {@code words} call. */
+    /** Returns the command that {@code words} match. */
     static Optional<CtlCommand> of(List<String> words) {
         return Arrays.stream(values()).filter(command -> command.matches(words)).findFirst();
     }
 
-    /** Returns the commands that begin as {@code words} do; all of them for no words. */
+    /** Returns the commands that start with {@code words}; all commands if there are no words. */
     static List<CtlCommand> startingWith(List<String> words) {
-        return Arrays.stream(values()).filter(command -> command.begins(words)).toList();
+        return Arrays.stream(values()).filter(command -> command.hasPrefix(words)).toList();
     }
 
-    /** Returns the words of the command with its own options, for help texts. */
+    /** Returns the words of the command with its required options, for help texts. */
     String usage() {
         String words = String.join(" ", mWords).replace(KIND, "service|backend|preset");
         return mOptions.contains(CtlOption.FILE) ? words + " -f FILE" : words;
@@ -101,7 +101,7 @@
         return mHelp;
     }
 
-    /** Returns whether the command knows {@code option} besides the options of all commands. */
+    /** Returns whether the command takes {@code option} in addition to the global options. */
     boolean takes(CtlOption option) {
         return mOptions.contains(option);
     }
@@ -112,7 +112,7 @@
 
     String name(List<String> words) {
         String last = mWords.get(mWords.size() - 1);
-        return placeholder(last) ? words.get(words.size() - 1) : "";
+        return isPlaceholder(last) ? words.get(words.size() - 1) : "";
     }
 
     Either<CommandError, Report> run(Arguments arguments, Session session) {
@@ -120,10 +120,10 @@
     }
 
     private boolean matches(List<String> words) {
-        return words.size() == mWords.size() && begins(words);
+        return words.size() == mWords.size() && hasPrefix(words);
     }
 
-    private boolean begins(List<String> words) {
+    private boolean hasPrefix(List<String> words) {
         return words.size() <= mWords.size()
                 && IntStream.range(0, words.size())
                         .allMatch(i -> matches(mWords.get(i), words.get(i)));
@@ -133,14 +133,14 @@
         if (expected.equals(KIND)) {
             return ObjectKind.fromCode(word).filter(KINDS::contains).isPresent();
         }
-        return placeholder(expected) || expected.equals(word);
+        return isPlaceholder(expected) || expected.equals(word);
     }
 
-    private static boolean placeholder(String word) {
+    private static boolean isPlaceholder(String word) {
         return Character.isUpperCase(word.charAt(0));
     }
 
-    /** What a command does. */
+    /** Implementation of a command. */
     @FunctionalInterface
     interface Action {
 
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/CtlOption.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/CtlOption.java
@@ -10,8 +10,8 @@
             null,
             "server",
             "IP:PORT",
-            "HTTP address of an entry host; may be repeated, the next is tried if one cannot be"
-                    + " reached; default "
+            "HTTP address of an entry host; may be repeated, the next is tried if one is"
+                    + " unreachable; default "
                     + CtlOption.DEFAULT_SERVER),
     OUTPUT(null, "output", "FORMAT", "table (default) or json"),
     FILE(
@@ -25,13 +25,17 @@
             "expect-version",
             "N",
             "make the change only if the object is at this version, 0 if it must not exist;"
-                    + " default: the version read right before"),
+                    + " default: the version read just before the change"),
     WAIT(null, "wait", null, "wait until the preset is in force on every live entry host"),
-    TIMEOUT(null, "timeout", "SECONDS", "longest wait; default " + CtlOption.DEFAULT_SECONDS),
+    TIMEOUT(
+            null,
+            "timeout",
+            "SECONDS",
+            "maximum wait; default " + CtlOption.DEFAULT_TIMEOUT_SECONDS),
     HELP("h", "help", null, "print the help text of the program or of a command");
 
     static final String DEFAULT_SERVER = "127.0.0.1:7100";
-    static final int DEFAULT_SECONDS = 30;
+    static final int DEFAULT_TIMEOUT_SECONDS = 30;
 
     private final String mShortName;
     private final String mLongName;
@@ -45,7 +49,7 @@
         mDescription = description;
     }
 
-    /** Returns all options in the form of the parser. */
+    /** Returns all options as options of the parser library. */
     static Options all() {
         Options options = new Options();
         for (CtlOption option : values()) {
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Cyclamenctl.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Cyclamenctl.java
@@ -13,20 +13,20 @@
 /** Runs one command line. */
 public final class Cyclamenctl {
 
-    private final Function<List<Endpoint>, Session> mSessions;
+    private final Function<List<Endpoint>, Session> mSessionFactory;
     private final PrintStream mOut;
     private final PrintStream mErr;
 
     /**
      * Creates a runner.
      *
-     * @param sessions makes the session for the entry hosts that the command line names
-     * @param out where results go
-     * @param err where errors go
+     * @param sessionFactory creates the session for the entry hosts that the command line names
+     * @param out stream for results
+     * @param err stream for errors
      */
     public Cyclamenctl(
-            Function<List<Endpoint>, Session> sessions, PrintStream out, PrintStream err) {
-        mSessions = sessions;
+            Function<List<Endpoint>, Session> sessionFactory, PrintStream out, PrintStream err) {
+        mSessionFactory = sessionFactory;
         mOut = out;
         mErr = err;
     }
@@ -34,13 +34,13 @@
     /**
      * Runs a command line and prints its result or its error.
      *
-     * @param line words and options
-     * @return the code to exit with
+     * @param line command words and options
+     * @return exit code of the process
      */
     public ExitCode run(String... line) {
         Either<CommandError, CommandLine> parsed = Invocation.parse(line);
         if (parsed.isLeft()) {
-            return misused(parsed.getLeft());
+            return reportUsageError(parsed.getLeft());
         }
         List<String> words = parsed.get().getArgList();
         if (CtlOption.HELP.in(parsed.get()) || words.isEmpty()) {
@@ -49,14 +49,14 @@
                     ? ExitCode.USAGE
                     : ExitCode.DONE;
         }
-        return Invocation.of(parsed.get()).fold(this::misused, this::run);
+        return Invocation.of(parsed.get()).fold(this::reportUsageError, this::run);
     }
 
     private ExitCode run(Invocation invocation) {
         OutputFormat output = invocation.output();
         return invocation
                 .command()
-                .run(invocation.arguments(), mSessions.apply(invocation.servers()))
+                .run(invocation.arguments(), mSessionFactory.apply(invocation.servers()))
                 .fold(
                         error -> {
                             output.print(error, mErr);
@@ -68,7 +68,7 @@
                         });
     }
 
-    private ExitCode misused(CommandError error) {
+    private ExitCode reportUsageError(CommandError error) {
         OutputFormat.TABLE.print(error, mErr);
         mErr.println("See cyclamenctl --help.");
         return error.code();
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ExplainCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ExplainCommand.java
@@ -6,7 +6,7 @@
 import org.cyclamenpaddle.ctl.report.Report;
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
-/** Shows what was decided for a request and why. */
+/** Shows the routing decisions for a request and their reasons. */
 final class ExplainCommand {
 
     private ExplainCommand() {}
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/HelpText.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/HelpText.java
@@ -18,31 +18,34 @@
 
     private HelpText() {}
 
-    /** Returns the help text of the commands that begin as {@code words} do. */
+    /**
+     * Returns the help text of the commands that start with {@code words}; of all commands if there
+     * is none.
+     */
     static String of(List<String> words) {
         List<CtlCommand> matching = CtlCommand.startingWith(words);
         List<CtlCommand> shown = matching.isEmpty() ? List.of(CtlCommand.values()) : matching;
         StringBuilder text = new StringBuilder();
-        line(text, "Usage: cyclamenctl [--server IP:PORT]... [--output table|json] COMMAND");
-        line(text, "");
-        line(text, "Commands:");
-        shown.forEach(command -> command(text, command));
-        line(text, "");
+        appendLine(text, "Usage: cyclamenctl [--server IP:PORT]... [--output table|json] COMMAND");
+        appendLine(text, "");
+        appendLine(text, "Commands:");
+        shown.forEach(command -> appendCommand(text, command));
+        appendLine(text, "");
         text.append(options(shown));
-        line(text, "Exit codes:");
-        exitCodes().lines().forEach(row -> line(text, "  " + row));
+        appendLine(text, "Exit codes:");
+        exitCodes().lines().forEach(row -> appendLine(text, "  " + row));
         return text.toString();
     }
 
-    private static void command(StringBuilder text, CtlCommand command) {
-        line(text, "  cyclamenctl " + command.usage());
-        line(text, "      " + command.help());
+    private static void appendCommand(StringBuilder text, CtlCommand command) {
+        appendLine(text, "  cyclamenctl " + command.usage());
+        appendLine(text, "      " + command.help());
     }
 
     private static String options(List<CtlCommand> shown) {
         Options options = new Options();
         Arrays.stream(CtlOption.values())
-                .filter(option -> general(option) || shown.stream().anyMatch(c -> c.takes(option)))
+                .filter(option -> isGlobal(option) || shown.stream().anyMatch(c -> c.takes(option)))
                 .forEach(option -> options.addOption(option.parserOption()));
         StringBuilder text = new StringBuilder();
         TextHelpAppendable appendable = new TextHelpAppendable(text);
@@ -59,7 +62,7 @@
         return text.toString();
     }
 
-    private static boolean general(CtlOption option) {
+    private static boolean isGlobal(CtlOption option) {
         return Stream.of(CtlOption.SERVER, CtlOption.OUTPUT, CtlOption.HELP)
                 .anyMatch(option::equals);
     }
@@ -77,7 +80,7 @@
         return new ReportTable(List.of("code", "name", "meaning"), rows);
     }
 
-    private static void line(StringBuilder text, String line) {
+    private static void appendLine(StringBuilder text, String line) {
         text.append(line).append('\n');
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Invocation.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Invocation.java
@@ -19,38 +19,38 @@
 import org.cyclamenpaddle.ctl.report.OutputFormat;
 
 /**
- * A checked command line.
+ * A parsed and validated command line.
  *
  * @param command the command
  * @param arguments its arguments
  * @param servers entry hosts in the order in which they are tried
- * @param output form of the result
+ * @param output output format of the result
  */
 record Invocation(
         CtlCommand command, Arguments arguments, List<Endpoint> servers, OutputFormat output) {
 
     private static final long MILLIS_PER_SECOND = 1_000;
-    private static final long MAX_SECONDS = 86_400;
+    private static final long MAX_TIMEOUT_SECONDS = 86_400;
 
-    /** Splits a command line into options and words. */
+    /** Parses a command line into options and positional words. */
     static Either<CommandError, CommandLine> parse(String... line) {
         try {
             return Either.right(new DefaultParser(false).parse(CtlOption.all(), line));
-        } catch (ParseException wrong) {
-            return Either.left(usage(wrong.getMessage()));
+        } catch (ParseException invalid) {
+            return Either.left(usage(invalid.getMessage()));
         }
     }
 
-    /** Checks words and options of a command line. */
+    /** Validates the words and options of a command line. */
     static Either<CommandError, Invocation> of(CommandLine line) {
         List<String> words = line.getArgList();
         Optional<CtlCommand> command = CtlCommand.of(words);
         if (command.isEmpty()) {
             return Either.left(usage("no such command: " + String.join(" ", words)));
         }
-        Optional<CommandError> misplaced = misplacedOption(command.get(), line);
-        if (misplaced.isPresent()) {
-            return Either.left(misplaced.get());
+        Optional<CommandError> optionError = optionError(command.get(), line);
+        if (optionError.isPresent()) {
+            return Either.left(optionError.get());
         }
         return Validation.combine(
                         fromEither(arguments(command.get(), words, line)),
@@ -63,7 +63,7 @@
                 .mapLeft(Seq::head);
     }
 
-    /** Returns the form of output; of a wrong word nothing but the error is said. */
+    /** Returns the output format, or a usage error if the value of the option is invalid. */
     static Either<CommandError, OutputFormat> output(CommandLine line) {
         String word = CtlOption.OUTPUT.value(line, OutputFormat.TABLE.code());
         return OutputFormat.fromCode(word)
@@ -71,8 +71,8 @@
                 .orElseGet(() -> Either.left(usage("--output takes table or json, not " + word)));
     }
 
-    private static Optional<CommandError> misplacedOption(CtlCommand command, CommandLine line) {
-        Stream<CtlOption> special =
+    private static Optional<CommandError> optionError(CtlCommand command, CommandLine line) {
+        Stream<CtlOption> commandOptions =
                 Stream.of(
                         CtlOption.FILE,
                         CtlOption.EXPECT_VERSION,
@@ -81,7 +81,8 @@
         if (command.takes(CtlOption.FILE) && !CtlOption.FILE.in(line)) {
             return Optional.of(usage("'" + command.usage() + "' needs -f FILE"));
         }
-        return special.filter(option -> option.in(line) && !command.takes(option))
+        return commandOptions
+                .filter(option -> option.in(line) && !command.takes(option))
                 .findFirst()
                 .map(o -> usage("'" + command.usage() + "' takes no --" + o.longName()));
     }
@@ -104,25 +105,26 @@
     }
 
     private static Either<CommandError, OptionalLong> waitMillis(CommandLine line) {
-        return number(line, CtlOption.TIMEOUT, MAX_SECONDS)
+        return number(line, CtlOption.TIMEOUT, MAX_TIMEOUT_SECONDS)
                 .map(
                         seconds ->
                                 CtlOption.WAIT.in(line)
                                         ? OptionalLong.of(
                                                 MILLIS_PER_SECOND
-                                                        * seconds.orElse(CtlOption.DEFAULT_SECONDS))
+                                                        * seconds.orElse(
+                                                                CtlOption.DEFAULT_TIMEOUT_SECONDS))
                                         : OptionalLong.empty());
     }
 
     private static Either<CommandError, OptionalLong> number(
-            CommandLine line, CtlOption option, long greatest) {
+            CommandLine line, CtlOption option, long max) {
         if (!option.in(line)) {
             return Either.right(OptionalLong.empty());
         }
         String text = option.value(line, "");
         try {
             long number = Long.parseLong(text);
-            return number >= 0 && number <= greatest
+            return number >= 0 && number <= max
                     ? Either.right(OptionalLong.of(number))
                     : Either.left(usage("--" + option.longName() + " out of range: " + number));
         } catch (NumberFormatException malformed) {
@@ -131,14 +133,14 @@
     }
 
     private static Either<CommandError, List<Endpoint>> servers(CommandLine line) {
-        String[] given = line.getOptionValues(CtlOption.SERVER.longName());
+        String[] values = line.getOptionValues(CtlOption.SERVER.longName());
         List<String> texts =
-                given == null ? List.of(CtlOption.DEFAULT_SERVER) : Arrays.asList(given);
+                values == null ? List.of(CtlOption.DEFAULT_SERVER) : Arrays.asList(values);
         List<Endpoint> endpoints =
                 texts.stream().map(Invocation::endpoint).flatMap(Optional::stream).toList();
         return endpoints.size() == texts.size()
                 ? Either.right(endpoints)
-                : Either.left(usage("--server takes IP:PORT, given " + texts));
+                : Either.left(usage("--server takes IP:PORT, got " + texts));
     }
 
     private static Optional<Endpoint> endpoint(String text) {
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/LogExplainCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/LogExplainCommand.java
@@ -17,25 +17,25 @@
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
 /**
- * Shows what relays logged of a request, from their log lines.
+ * Shows the log lines of relays that explain a request.
  *
- * <p>Lines that name the request tell what was decided. Beside them stand those that changed what
- * the same host believed of the backend servers in question, or of the store, shortly before: they
- * tell why.
+ * <p>Lines with the id of the request contain the decisions. Lines of the same host that record a
+ * state change of the backend servers involved, or of the store, shortly before or during the
+ * request contain the reasons.
  */
 final class LogExplainCommand {
 
     /**
-     * How long before a request's first line a change of belief still explains it: the longest time
-     * for which a failing backend server is left out, and a little more.
+     * Time before the first line of a request in which state changes are included: slightly longer
+     * than the maximum time for which a failing backend server is ejected.
      */
-    private static final Duration BEFORE = Duration.ofSeconds(5);
+    private static final Duration LOOKBACK = Duration.ofSeconds(5);
 
-    /** Events that change what a host believes of backend servers or of the store. */
-    private static final Set<String> BELIEFS =
+    /** Events that record a state change of backend servers or of the store on a host. */
+    private static final Set<String> STATE_EVENTS =
             Set.of("CP2101", "CP2102", "CP2103", "CP2106", "CP2107", "CP2108");
 
-    private static final Set<String> SHOWN_APART = Set.of("time", "node", "code", "event");
+    private static final Set<String> COLUMN_FIELDS = Set.of("time", "node", "code", "event");
     private static final String NO_BACKEND = "none";
 
     private LogExplainCommand() {}
@@ -49,29 +49,32 @@
     }
 
     private static Either<CommandError, Report> explain(List<LogLine> lines, Arguments arguments) {
-        List<LogLine> own = lines.stream().filter(line -> isAbout(line, arguments.name())).toList();
-        if (own.isEmpty()) {
+        List<LogLine> requestLines =
+                lines.stream().filter(line -> isAbout(line, arguments.name())).toList();
+        if (requestLines.isEmpty()) {
             return Either.left(
                     CommandError.of(
                             ExitCode.NOT_FOUND,
-                            arguments.file() + " has no line of request " + arguments.name()));
+                            arguments.file() + " contains no line of request " + arguments.name()));
         }
-        ArrayNode shown = Json.array();
+        ArrayNode rows = Json.array();
         lines.stream()
-                .filter(line -> isAbout(line, arguments.name()) || explains(line, own))
-                .forEach(line -> shown.add(shown(line)));
+                .filter(line -> isAbout(line, arguments.name()) || isContext(line, requestLines))
+                .forEach(line -> rows.add(row(line)));
         return Either.right(
-                Report.of(shown, ReportTable.of(shown, "time", "node", "code", "event", "detail")));
+                Report.of(rows, ReportTable.of(rows, "time", "node", "code", "event", "detail")));
     }
 
-    private static boolean explains(LogLine line, List<LogLine> own) {
-        if (!BELIEFS.contains(line.text("code"))) {
+    private static boolean isContext(LogLine line, List<LogLine> requestLines) {
+        if (!STATE_EVENTS.contains(line.text("code"))) {
             return false;
         }
-        Instant from = own.get(0).time().minus(BEFORE);
-        Instant to = own.get(own.size() - 1).time();
-        Set<String> nodes = own.stream().map(o -> o.text("node")).collect(Collectors.toSet());
-        Set<String> backends = own.stream().map(o -> o.text("backend")).collect(Collectors.toSet());
+        Instant from = requestLines.get(0).time().minus(LOOKBACK);
+        Instant to = requestLines.get(requestLines.size() - 1).time();
+        Set<String> nodes =
+                requestLines.stream().map(l -> l.text("node")).collect(Collectors.toSet());
+        Set<String> backends =
+                requestLines.stream().map(l -> l.text("backend")).collect(Collectors.toSet());
         String backend = line.fields().path("backend").asText(NO_BACKEND);
         return nodes.contains(line.text("node"))
                 && !line.time().isBefore(from)
@@ -79,10 +82,10 @@
                 && (backend.equals(NO_BACKEND) || backends.contains(backend));
     }
 
-    private static JsonNode shown(LogLine line) {
+    private static JsonNode row(LogLine line) {
         String detail =
                 line.fields().properties().stream()
-                        .filter(field -> !SHOWN_APART.contains(field.getKey()))
+                        .filter(field -> !COLUMN_FIELDS.contains(field.getKey()))
                         .map(field -> field.getKey() + "=" + field.getValue().asText())
                         .collect(Collectors.joining(" "));
         return Json.object()
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/LogReportCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/LogReportCommand.java
@@ -19,12 +19,12 @@
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
 /**
- * Shows from relays' logs what became of requests, second by second and route by route, and why
- * those that were not answered ended.
+ * Summarizes the outcomes of requests from relay logs by second and by route, and counts the
+ * reasons of requests that did not complete.
  */
 final class LogReportCommand {
 
-    private static final String[] FIGURES = {
+    private static final String[] COLUMNS = {
         "answered",
         "sentAgain",
         "refused",
@@ -46,69 +46,69 @@
     }
 
     private static Either<CommandError, Report> report(LogFile log, String file) {
-        List<LogLine> ends = log.lines().stream().filter(RequestTally::tellsAnEnd).toList();
+        List<LogLine> ends = log.lines().stream().filter(RequestTally::isRequestEnd).toList();
         if (ends.isEmpty()) {
             return Either.left(
                     CommandError.of(
                             ExitCode.NOT_FOUND,
                             file
-                                    + " tells the end of no request; "
+                                    + " contains no request end event; "
                                     + log.skipped()
-                                    + " lines are no decision lines"));
+                                    + " lines are not decision lines"));
         }
-        ArrayNode seconds = tallied(ends, "second", LogReportCommand::second);
-        ArrayNode routes = tallied(ends, "route", line -> line.text("route"));
+        ArrayNode seconds = tallyBy(ends, "second", LogReportCommand::second);
+        ArrayNode routes = tallyBy(ends, "route", line -> line.text("route"));
         ArrayNode reasons = reasons(ends);
-        ObjectNode all = Json.object().put("skippedLines", log.skipped());
-        all.set("seconds", seconds);
-        all.set("routes", routes);
-        all.set("reasons", reasons);
+        ObjectNode summary = Json.object().put("skippedLines", log.skipped());
+        summary.set("seconds", seconds);
+        summary.set("routes", routes);
+        summary.set("reasons", reasons);
         return Either.right(
                 new Report(
-                        all,
+                        summary,
                         List.of(
                                 table(seconds, "second"),
                                 table(routes, "route"),
                                 ReportTable.of(reasons, "reason", "requests"),
-                                ReportTable.of(Json.array().add(all), "skippedLines"))));
+                                ReportTable.of(Json.array().add(summary), "skippedLines"))));
     }
 
     private static String second(LogLine line) {
         return line.time().truncatedTo(ChronoUnit.SECONDS).toString();
     }
 
-    private static ArrayNode tallied(
+    private static ArrayNode tallyBy(
             List<LogLine> ends, String name, Function<LogLine, String> key) {
         Map<String, RequestTally> tallies = new TreeMap<>();
         ends.forEach(
                 line ->
-                        tallies.computeIfAbsent(key.apply(line), any -> new RequestTally())
+                        tallies.computeIfAbsent(key.apply(line), unused -> new RequestTally())
                                 .add(line));
-        ArrayNode shown = Json.array();
+        ArrayNode rows = Json.array();
         tallies.forEach(
-                (value, tally) -> shown.add(Json.object().put(name, value).setAll(tally.shown())));
-        return shown;
+                (value, tally) -> rows.add(Json.object().put(name, value).setAll(tally.toJson())));
+        return rows;
     }
 
     private static ArrayNode reasons(List<LogLine> ends) {
-        Map<String, Long> counted =
+        Map<String, Long> counts =
                 ends.stream()
                         .map(line -> line.text("reason"))
                         .filter(reason -> !reason.isEmpty())
                         .collect(
                                 Collectors.groupingBy(
                                         Function.identity(), TreeMap::new, Collectors.counting()));
-        ArrayNode shown = Json.array();
-        counted.forEach(
+        ArrayNode rows = Json.array();
+        counts.forEach(
                 (reason, requests) ->
-                        shown.add(Json.object().put("reason", reason).put("requests", requests)));
-        return shown;
+                        rows.add(Json.object().put("reason", reason).put("requests", requests)));
+        return rows;
     }
 
     private static ReportTable table(ArrayNode rows, String name) {
-        String[] members = new String[FIGURES.length + 1];
+        String[] members = new String[COLUMNS.length + 1];
         members[0] = name;
-        System.arraycopy(FIGURES, 0, members, 1, FIGURES.length);
+        System.arraycopy(COLUMNS, 0, members, 1, COLUMNS.length);
         return ReportTable.of(rows, members);
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ObjectCommands.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ObjectCommands.java
@@ -17,7 +17,7 @@
 import org.cyclamenpaddle.ctl.report.Report;
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
-/** Commands about single objects and lists of them. */
+/** Commands that list, show, delete and drain configuration objects. */
 final class ObjectCommands {
 
     private ObjectCommands() {}
@@ -47,7 +47,7 @@
                 .map(object -> outcome(key(arguments), "leaving", object.version()));
     }
 
-    /** Returns a report of one line that says what became of an object. */
+    /** Returns a report with one row: the result of a change to an object. */
     static Report outcome(ObjectKey key, String result, long version) {
         ObjectNode document = Json.object();
         document.put("kind", key.kind().code());
@@ -73,10 +73,10 @@
                 .flatMap(
                         found ->
                                 found.<Either<CommandError, ObjectDocument>>map(Either::right)
-                                        .orElseGet(() -> Either.left(absent(key(arguments)))));
+                                        .orElseGet(() -> Either.left(notFound(key(arguments)))));
     }
 
-    private static CommandError absent(ObjectKey key) {
+    private static CommandError notFound(ObjectKey key) {
         return CommandError.of(
                 ExitCode.NOT_FOUND, "there is no " + key.kind().code() + " " + key.name());
     }
@@ -91,10 +91,10 @@
         List<List<String>> rows =
                 object.spec().propertyStream().flatMap(member -> rows(member).stream()).toList();
         ObjectNode document = document(object);
-        ReportTable head =
+        ReportTable summary =
                 ReportTable.of(Json.array().add(document), "name", "version", "changeId");
         return new Report(
-                document, List.of(head, new ReportTable(List.of("member", "value"), rows)));
+                document, List.of(summary, new ReportTable(List.of("member", "value"), rows)));
     }
 
     private static List<List<String>> rows(Map.Entry<String, JsonNode> member) {
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ObjectFile.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/ObjectFile.java
@@ -18,18 +18,18 @@
 import org.cyclamenpaddle.ctl.report.ExitCode;
 
 /**
- * Objects that a TOML file declares, in the order in which they refer to each other.
+ * Reads the objects that a TOML file declares, in dependency order.
  *
- * <p>Members are those of the specs; what a spec leaves out gets the value that {@link
- * SpecDefaults} names. Whether a spec is sound is checked by the entry host alone, so that there is
- * one check.
+ * <p>Members are those of the specs; {@link SpecDefaults} provides the values of omitted members.
+ * Specs are validated by the entry host only, so that there is a single implementation of the
+ * checks.
  */
 final class ObjectFile {
 
     private static final TomlMapper MAPPER = new TomlMapper();
 
-    /** Kinds in the order in which they refer to each other. */
-    private static final List<ObjectKind> ORDER =
+    /** Kinds in dependency order: each kind references only kinds before it. */
+    private static final List<ObjectKind> DEPENDENCY_ORDER =
             List.of(ObjectKind.SERVICE, ObjectKind.BACKEND, ObjectKind.PRESET);
 
     private ObjectFile() {}
@@ -37,29 +37,30 @@
     /**
      * Reads a file.
      *
-     * @param file its path
-     * @param only the one kind that the file may hold; empty for all kinds
+     * @param file path of the file
+     * @param allowedKind the only kind that the file may contain; empty for all kinds
      */
-    static Either<CommandError, List<Declaration>> read(String file, Optional<ObjectKind> only) {
+    static Either<CommandError, List<Declaration>> read(
+            String file, Optional<ObjectKind> allowedKind) {
         try {
-            return objects(file, MAPPER.readTree(Files.readString(Path.of(file))), only);
+            return objects(file, MAPPER.readTree(Files.readString(Path.of(file))), allowedKind);
         } catch (JsonProcessingException malformed) {
-            return bad(
+            return badFile(
                     file,
                     "line "
                             + malformed.getLocation().getLineNr()
                             + ": "
                             + malformed.getOriginalMessage());
         } catch (IOException unreadable) {
-            return bad(file, "cannot be read (" + unreadable + ")");
+            return badFile(file, "cannot be read (" + unreadable + ")");
         }
     }
 
     private static Either<CommandError, List<Declaration>> objects(
-            String file, JsonNode root, Optional<ObjectKind> only) {
+            String file, JsonNode root, Optional<ObjectKind> allowedKind) {
         List<String> allowed =
-                ORDER.stream()
-                        .filter(kind -> only.isEmpty() || only.get() == kind)
+                DEPENDENCY_ORDER.stream()
+                        .filter(kind -> allowedKind.isEmpty() || allowedKind.get() == kind)
                         .map(ObjectKind::code)
                         .toList();
         Optional<String> unknown =
@@ -68,19 +69,21 @@
                         .filter(member -> !allowed.contains(member))
                         .findFirst();
         if (unknown.isPresent()) {
-            return bad(file, "unknown section " + unknown.get() + "; allowed: " + allowed);
+            return badFile(file, "unknown section " + unknown.get() + "; allowed: " + allowed);
         }
         List<Declaration> declarations = new ArrayList<>();
-        for (ObjectKind kind : ORDER) {
+        for (ObjectKind kind : DEPENDENCY_ORDER) {
             for (JsonNode object : root.path(kind.code())) {
                 Optional<Declaration> declaration = Declaration.of(kind, object);
                 if (declaration.isEmpty()) {
-                    return bad(file, "a [[" + kind.code() + "]] has no usable name");
+                    return badFile(file, "a [[" + kind.code() + "]] has no usable name");
                 }
                 declarations.add(declaration.get());
             }
         }
-        return declarations.isEmpty() ? bad(file, "declares nothing") : unique(file, declarations);
+        return declarations.isEmpty()
+                ? badFile(file, "declares no objects")
+                : unique(file, declarations);
     }
 
     private static Either<CommandError, List<Declaration>> unique(
@@ -88,18 +91,18 @@
         Stream<ObjectKey> keys = declarations.stream().map(Declaration::key);
         return keys.distinct().count() == declarations.size()
                 ? Either.right(declarations)
-                : bad(file, "declares an object twice");
+                : badFile(file, "declares an object twice");
     }
 
-    private static <T> Either<CommandError, T> bad(String file, String problem) {
+    private static <T> Either<CommandError, T> badFile(String file, String problem) {
         return Either.left(CommandError.of(ExitCode.BAD_FILE, file + ": " + problem));
     }
 
     /**
      * One object of a file.
      *
-     * @param key which
-     * @param declared members that the file names
+     * @param key key of the object
+     * @param declared members that the file specifies
      */
     record Declaration(ObjectKey key, ObjectNode declared) {
 
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/PresetUseCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/PresetUseCommand.java
@@ -13,7 +13,10 @@
 import org.cyclamenpaddle.ctl.report.Report;
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
-/** Puts a preset in force and, if asked, waits until it is so on every live entry host. */
+/**
+ * Puts a preset in force and, with {@code --wait}, polls until it is in force on every live entry
+ * host.
+ */
 final class PresetUseCommand {
 
     private static final long POLL_MILLIS = 200;
@@ -48,18 +51,18 @@
             return Either.right(accepted(arguments.name(), version));
         }
         long deadline = session.clock().millis() + arguments.waitMillis().getAsLong();
-        InForce last = InForce.NOTHING_SEEN;
+        InForce last = InForce.NO_STATUS;
         while (true) {
             Either<CommandError, JsonNode> status = session.client().status();
             last = status.map(InForce::of).getOrElse(last);
-            if (last.everywhere(arguments.name(), version)) {
+            if (last.isOnAllHosts(arguments.name(), version)) {
                 return Either.right(inForce(last, version));
             }
-            if (last.superseded(arguments.name(), version)) {
+            if (last.isSuperseded(arguments.name(), version)) {
                 return Either.left(superseded(last, version));
             }
             if (session.clock().millis() >= deadline) {
-                return Either.left(late(last, version));
+                return Either.left(timedOut(last, version));
             }
             session.pause().accept(POLL_MILLIS);
         }
@@ -72,12 +75,12 @@
         return Report.of(document, ReportTable.of(Json.array().add(document), "preset", "version"));
     }
 
-    private static Report inForce(InForce seen, long version) {
+    private static Report inForce(InForce observed, long version) {
         ObjectNode document = Json.object();
-        document.put("preset", seen.preset());
+        document.put("preset", observed.preset());
         document.put("version", version);
-        document.put("hostsInForce", seen.hosts());
-        document.put("hostsAlive", seen.alive());
+        document.put("hostsInForce", observed.hosts());
+        document.put("hostsAlive", observed.alive());
         return Report.of(
                 document,
                 ReportTable.of(
@@ -88,33 +91,33 @@
                         "hostsAlive"));
     }
 
-    private static CommandError superseded(InForce seen, long version) {
+    private static CommandError superseded(InForce observed, long version) {
         return CommandError.of(
                 ExitCode.CONFLICT,
                 "accepted as version "
                         + version
                         + ", then superseded by preset "
-                        + seen.preset()
+                        + observed.preset()
                         + " with version "
-                        + seen.version());
+                        + observed.version());
     }
 
-    private static CommandError late(InForce seen, long version) {
+    private static CommandError timedOut(InForce observed, long version) {
         return CommandError.of(
                 ExitCode.TIMED_OUT,
                 "accepted as version "
                         + version
-                        + ", but seen in force on "
-                        + seen.hosts()
+                        + ", but observed in force on "
+                        + observed.hosts()
                         + " of "
-                        + seen.alive()
+                        + observed.alive()
                         + " live entry hosts only");
     }
 
-    /** What a status document says of the preset in force. */
+    /** The preset in force as reported by a status document. */
     private record InForce(String preset, long version, long hosts, long alive) {
 
-        static final InForce NOTHING_SEEN = new InForce("", 0, 0, 0);
+        static final InForce NO_STATUS = new InForce("", 0, 0, 0);
 
         static InForce of(JsonNode status) {
             return new InForce(
@@ -124,11 +127,11 @@
                     status.path("hostsAlive").asLong());
         }
 
-        boolean everywhere(String wanted, long accepted) {
+        boolean isOnAllHosts(String wanted, long accepted) {
             return version >= accepted && preset.equals(wanted) && hosts == alive && alive > 0;
         }
 
-        boolean superseded(String wanted, long accepted) {
+        boolean isSuperseded(String wanted, long accepted) {
             return version > accepted && !preset.equals(wanted);
         }
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Session.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Session.java
@@ -7,12 +7,12 @@
 import org.cyclamenpaddle.ctl.client.OperatorClient;
 
 /**
- * What commands work with.
+ * Dependencies of the commands.
  *
- * @param client client of the fleet
- * @param changeIds makes a new change id at each call
- * @param clock bounds waits
- * @param pause passes a number of milliseconds
+ * @param client client of the operators' API
+ * @param changeIds generates a new change id on each call
+ * @param clock clock for the deadlines of waits
+ * @param pause sleeps for a number of milliseconds
  */
 public record Session(
         OperatorClient client, Supplier<ChangeId> changeIds, Clock clock, LongConsumer pause) {}
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/SpecDefaults.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/SpecDefaults.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.core.config.ObjectKind;
 import org.cyclamenpaddle.ctl.report.Json;
 
-/** Values of spec members that a file leaves out. */
+/** Default values of spec members that a file omits. */
 final class SpecDefaults {
 
     private static final String LEAVING = "leaving";
@@ -20,19 +20,19 @@
     }
 
     /**
-     * Returns the whole spec of an object.
+     * Returns the complete spec of an object.
      *
-     * <p>Safeguard: a backend server that was asked to drain would get new work again when its file
-     * is applied anew, since files rarely speak of draining. So a file that does not name {@code
-     * leaving} leaves it as it is.
+     * <p>Safeguard: files rarely set {@code leaving}. Without this rule, applying a file again
+     * would reset it on a draining backend server, which would then get new requests. A file that
+     * omits {@code leaving} therefore preserves the stored value.
      *
      * @param kind kind of the object
-     * @param declared members that the file names
-     * @param stored the object's spec as it is, if it exists
+     * @param declared members that the file specifies
+     * @param stored the stored spec; empty if the object does not exist
      */
     static ObjectNode complete(ObjectKind kind, ObjectNode declared, Optional<JsonNode> stored) {
         ObjectNode spec = defaults(kind);
-        stored.map(old -> old.path(LEAVING))
+        stored.map(current -> current.path(LEAVING))
                 .filter(JsonNode::isBoolean)
                 .ifPresent(leaving -> spec.set(LEAVING, leaving));
         spec.setAll(declared);
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/StatusCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/StatusCommand.java
@@ -9,7 +9,7 @@
 import org.cyclamenpaddle.ctl.report.Report;
 import org.cyclamenpaddle.ctl.report.ReportTable;
 
-/** Shows the fleet as one entry host sees it. */
+/** Shows the status of the fleet as reported by one entry host. */
 final class StatusCommand {
 
     private StatusCommand() {}
@@ -59,8 +59,8 @@
                         counts("retry", status.path("retries"))));
     }
 
-    /** Returns the reasons that were met, with their counts on the reporting host. */
-    private static ReportTable counts(String what, JsonNode counts) {
+    /** Returns the reasons with a non-zero count on the reporting host. */
+    private static ReportTable counts(String header, JsonNode counts) {
         ArrayNode rows = Json.array();
         counts.propertyStream()
                 .filter(count -> count.getValue().asLong() > 0)
@@ -68,8 +68,8 @@
                         count ->
                                 rows.add(
                                         Json.object()
-                                                .put(what, count.getKey())
+                                                .put(header, count.getKey())
                                                 .put("count", count.getValue().asLong())));
-        return ReportTable.of(rows, what, "count");
+        return ReportTable.of(rows, header, "count");
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/package-info.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of {@code cyclamenctl}, their arguments and what they do. */
+/** The commands of {@code cyclamenctl}: command line parsing, validation and execution. */
 package org.cyclamenpaddle.ctl.command;
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/LogFile.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/LogFile.java
@@ -15,8 +15,8 @@
 /**
  * The decision lines of a log file.
  *
- * @param lines in the order of time
- * @param skipped lines that are no decision lines: cut, of another program, or stack traces
+ * @param lines decision lines, sorted by time
+ * @param skipped number of other lines: truncated lines, lines of other programs, stack traces
  */
 public record LogFile(List<LogLine> lines, long skipped) {
 
@@ -24,7 +24,9 @@
         lines = List.copyOf(lines);
     }
 
-    /** Reads a file; bytes that are no text make their line a skipped one. */
+    /**
+     * Reads a log file; lines that cannot be parsed, such as binary data, are skipped and counted.
+     */
     public static Either<CommandError, LogFile> read(String file) {
         List<LogLine> lines = new ArrayList<>();
         long skipped = 0;
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/LogLine.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/LogLine.java
@@ -9,12 +9,12 @@
 /**
  * One decision line of a relay's log.
  *
- * @param time when it was written
- * @param fields all of its fields
+ * @param time time of the event
+ * @param fields all fields of the line
  */
 public record LogLine(Instant time, JsonNode fields) {
 
-    /** Reads a line; empty for what is no decision line, such as a stack trace between them. */
+    /** Parses a line; empty if it is not a decision line, such as a line of a stack trace. */
     static Optional<LogLine> of(String text) {
         return Json.read(text).flatMap(LogLine::of);
     }
@@ -25,22 +25,21 @@
             return fields.path("code").isTextual()
                     ? Optional.of(new LogLine(time, fields))
                     : Optional.empty();
-        } catch (DateTimeException noTime) {
+        } catch (DateTimeException malformed) {
             return Optional.empty();
         }
     }
 
-    /** Returns the code of the event. */
     public String code() {
         return text("code");
     }
 
-    /** Returns a field as text; empty text without it. */
+    /** Returns a field as text; the empty string if it is missing. */
     public String text(String field) {
         return fields.path(field).asText();
     }
 
-    /** Returns a field as a number; 0 without it. */
+    /** Returns a field as a number; 0 if it is missing. */
     public long number(String field) {
         return fields.path(field).asLong();
     }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/RequestTally.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/RequestTally.java
@@ -4,83 +4,85 @@
 import org.HdrHistogram.Histogram;
 import org.cyclamenpaddle.ctl.report.Json;
 
-/** What became of some requests, and what those waited for that were answered. */
+/** Counts the outcomes of requests and aggregates the latencies of completed requests. */
 public final class RequestTally {
 
-    private static final String ANSWERED = "CP2201";
-    private static final String FAILED = "CP2202";
-    private static final String CUT = "CP2203";
-    private static final String CALLER_GONE = "CP2204";
-    private static final long NOT_RUN = 503;
+    private static final String REQUEST_ENDED = "CP2201";
+    private static final String REQUEST_FAILED = "CP2202";
+    private static final String RESPONSE_TRUNCATED = "CP2203";
+    private static final String CALLER_DISCONNECTED = "CP2204";
+    private static final long NOT_RUN_STATUS = 503;
 
-    private static final int DIGITS = 2;
+    private static final int SIGNIFICANT_DIGITS = 2;
     private static final double MEDIAN = 50;
-    private static final double HIGH = 95;
+    private static final double PERCENTILE_95 = 95;
 
-    private final Histogram mPlaceMillis = new Histogram(DIGITS);
-    private final Histogram mReadMillis = new Histogram(DIGITS);
-    private final Histogram mPauseMillis = new Histogram(DIGITS);
-    private final Histogram mMillis = new Histogram(DIGITS);
-    private long mAnswered;
-    private long mSentAgain;
-    private long mRefused;
+    private final Histogram mReservationMillis = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram mFirstEventMillis = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram mMaxPauseMillis = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram mTotalMillis = new Histogram(SIGNIFICANT_DIGITS);
+    private long mCompleted;
+    private long mRetried;
+    private long mRejected;
     private long mFailed;
-    private long mCut;
-    private long mGone;
+    private long mTruncated;
+    private long mDisconnected;
 
-    /** Returns whether a line tells the end of a request. */
-    public static boolean tellsAnEnd(LogLine line) {
+    /** Returns whether a line records the end of a request. */
+    public static boolean isRequestEnd(LogLine line) {
         return switch (line.code()) {
-            case ANSWERED, FAILED, CUT, CALLER_GONE -> true;
+            case REQUEST_ENDED, REQUEST_FAILED, RESPONSE_TRUNCATED, CALLER_DISCONNECTED -> true;
             default -> false;
         };
     }
 
-    /** Takes in the line that tells the end of a request. */
+    /** Adds a line that records the end of a request. */
     public void add(LogLine line) {
         switch (line.code()) {
-            case ANSWERED -> answered(line);
-            case FAILED -> failed(line);
-            case CUT -> mCut++;
-            case CALLER_GONE -> mGone++;
-            default -> throw new IllegalArgumentException(line.code() + " ends no request");
+            case REQUEST_ENDED -> recordCompleted(line);
+            case REQUEST_FAILED -> recordFailed(line);
+            case RESPONSE_TRUNCATED -> mTruncated++;
+            case CALLER_DISCONNECTED -> mDisconnected++;
+            default ->
+                    throw new IllegalArgumentException(line.code() + " is not a request end event");
         }
     }
 
-    private void failed(LogLine line) {
-        if (line.number("told") == NOT_RUN) {
-            mRefused++;
+    private void recordFailed(LogLine line) {
+        if (line.number("told") == NOT_RUN_STATUS) {
+            mRejected++;
         } else {
             mFailed++;
         }
     }
 
-    private void answered(LogLine line) {
-        mAnswered++;
-        mSentAgain += line.number("sends") > 1 ? 1 : 0;
-        mMillis.recordValue(Math.max(0, line.number("millis")));
-        long place = line.number("placeMillis");
-        if (place >= 0) {
-            mPlaceMillis.recordValue(place);
-            mReadMillis.recordValue(Math.max(0, line.number("firstMillis") - place));
-            mPauseMillis.recordValue(Math.max(0, line.number("pauseMillis")));
+    private void recordCompleted(LogLine line) {
+        mCompleted++;
+        mRetried += line.number("sends") > 1 ? 1 : 0;
+        mTotalMillis.recordValue(Math.max(0, line.number("millis")));
+        long reservationMillis = line.number("placeMillis");
+        if (reservationMillis >= 0) {
+            mReservationMillis.recordValue(reservationMillis);
+            mFirstEventMillis.recordValue(
+                    Math.max(0, line.number("firstMillis") - reservationMillis));
+            mMaxPauseMillis.recordValue(Math.max(0, line.number("pauseMillis")));
         }
     }
 
-    /** Returns the figures, times in milliseconds. */
-    public ObjectNode shown() {
+    /** Returns the counts and the latency percentiles, in milliseconds. */
+    public ObjectNode toJson() {
         return Json.object()
-                .put("answered", mAnswered)
-                .put("sentAgain", mSentAgain)
-                .put("refused", mRefused)
+                .put("answered", mCompleted)
+                .put("sentAgain", mRetried)
+                .put("refused", mRejected)
                 .put("failed", mFailed)
-                .put("cut", mCut)
-                .put("gone", mGone)
-                .put("place50", mPlaceMillis.getValueAtPercentile(MEDIAN))
-                .put("place95", mPlaceMillis.getValueAtPercentile(HIGH))
-                .put("read50", mReadMillis.getValueAtPercentile(MEDIAN))
-                .put("read95", mReadMillis.getValueAtPercentile(HIGH))
-                .put("pause95", mPauseMillis.getValueAtPercentile(HIGH))
-                .put("whole95", mMillis.getValueAtPercentile(HIGH));
+                .put("cut", mTruncated)
+                .put("gone", mDisconnected)
+                .put("place50", mReservationMillis.getValueAtPercentile(MEDIAN))
+                .put("place95", mReservationMillis.getValueAtPercentile(PERCENTILE_95))
+                .put("read50", mFirstEventMillis.getValueAtPercentile(MEDIAN))
+                .put("read95", mFirstEventMillis.getValueAtPercentile(PERCENTILE_95))
+                .put("pause95", mMaxPauseMillis.getValueAtPercentile(PERCENTILE_95))
+                .put("whole95", mTotalMillis.getValueAtPercentile(PERCENTILE_95));
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/package-info.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/log/package-info.java
@@ -1,2 +1,2 @@
-/** Reads relays' log lines and sums them up. */
+/** Parses and aggregates log lines of relays. */
 package org.cyclamenpaddle.ctl.log;
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/CyclamenctlTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/CyclamenctlTest.java
@@ -64,7 +64,7 @@
 
     @BeforeClass
     public void start() {
-        // The API is made anew for each test; the server stays, as stopping one takes seconds.
+        // Each test gets a new API; the server is shared, since stopping a server takes seconds.
         ServerBuilder builder = Server.builder().http(new InetSocketAddress("127.0.0.1", 0));
         builder.service("prefix:/", (context, request) -> HttpResponse.of(404));
         mServer = builder.build();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    public void appliesAFileInTheOrderOfReferences() throws IOException {
+    public void appliesObjectsInDependencyOrder() throws IOException {
         ExitCode first = run("apply", "-f", file(OBJECTS));
         String created = out();
         ExitCode second = run("apply", "-f", file(OBJECTS));
@@ -99,10 +99,10 @@
         assertEquals(out().lines().filter(line -> line.contains("unchanged")).count(), 3);
     }
 
-    // An operator drains a backend server, and a colleague applies the file of objects anew. The
-    // file does not speak of draining; without the safeguard the server would get new work again.
+    // A backend server is draining and its object file, which omits "leaving", is applied again.
+    // Without the safeguard, the drain would be cancelled and the server would get new requests.
     @Test
-    public void applyingAFileKeepsADrain() throws IOException {
+    public void applyPreservesDrainState() throws IOException {
         run("apply", "-f", file(OBJECTS));
         run("backend", "drain", "d1");
 
@@ -125,7 +125,7 @@
     }
 
     @Test
-    public void aConflictSaysWhoWon() {
+    public void conflictNamesTheWinningChange() {
         mApi.write("in-force/preset", "ravi:1", Json.object().put("preset", "peak"));
 
         ExitCode code = run("preset", "use", "ordinary", "--expect-version", "0");
@@ -135,11 +135,11 @@
         assertEquals(mApi.spec("in-force/preset").path("preset").asText(), "peak");
     }
 
-    // The change takes effect, but its answer is lost. Sent anew, it would be refused by its own
-    // first run, and the operator would be told of a conflict with himself; so it is read back.
+    // The change is applied, but its response is lost. A retry would fail the version check and
+    // report a conflict with the operator's own change, so the client reads the object instead.
     @Test
-    public void aLostAnswerIsSettledByTheChangeId() {
-        mApi.lose(FakeOperatorApi.Loss.AFTER_CHANGE);
+    public void lostResponseIsResolvedByChangeId() {
+        mApi.loseResponses(FakeOperatorApi.ResponseLoss.AFTER_CHANGE);
 
         ExitCode code = run("preset", "use", "ordinary");
 
@@ -147,11 +147,11 @@
         assertEquals(mApi.changeRequests(), 1);
     }
 
-    // No answer comes and the object does not show the change. It may still be on its way, so it
-    // is reported as unknown and neither as made nor as not made.
+    // The response is lost and the object does not contain the change. The change may still be in
+    // flight, so it is reported as unknown, neither as applied nor as not applied.
     @Test
-    public void aChangeThatCannotBeSettledIsUnknown() {
-        mApi.lose(FakeOperatorApi.Loss.BEFORE_CHANGE);
+    public void unresolvedChangeIsReportedAsUnknown() {
+        mApi.loseResponses(FakeOperatorApi.ResponseLoss.BEFORE_CHANGE);
 
         ExitCode code = run("preset", "use", "ordinary");
 
@@ -159,18 +159,19 @@
         assertEquals(mApi.changeRequests(), 1);
     }
 
-    // The platform does not answer the entry host, which says so with an unknown outcome. A change
-    // may have been made; a list has changed nothing, and scripts must not take it for a change.
+    // The platform does not respond to the entry host, which reports an unknown outcome. A change
+    // may have been applied, but a list changes nothing: scripts must not get the exit code of an
+    // unknown change for it.
     @Test
-    public void onlyAChangeCanBeUnknown() {
-        mApi.beUnsure();
+    public void onlyChangesHaveUnknownOutcome() {
+        mApi.reportUnknownOutcomes();
 
         assertEquals(run("preset", "use", "ordinary"), ExitCode.UNKNOWN);
         assertEquals(run("service", "list"), ExitCode.REFUSED);
     }
 
     @Test
-    public void triesTheNextServerWhenOneCannotBeReached() {
+    public void failsOverToNextServerWhenOneIsUnreachable() {
         List<String> line = new ArrayList<>(List.of("--server", "127.0.0.1:1"));
         line.addAll(List.of("preset", "use", "ordinary"));
 
@@ -179,7 +180,7 @@
     }
 
     @Test
-    public void waitsUntilThePresetIsInForceEverywhere() {
+    public void waitsUntilPresetIsInForceOnAllHosts() {
         mApi.statuses(status("peak", 0, 1), status("ordinary", 1, 2), status("ordinary", 1, 3));
 
         ExitCode code = run("preset", "use", "ordinary", "--wait", "--output", "json");
@@ -190,7 +191,7 @@
     }
 
     @Test
-    public void saysOnHowManyHostsThePresetIsInForceWhenTimeIsUp() {
+    public void reportsHostCountWhenWaitTimesOut() {
         mApi.statuses(status("ordinary", 1, 2));
 
         ExitCode code = run("preset", "use", "ordinary", "--wait", "--timeout", "2");
@@ -201,7 +202,7 @@
     }
 
     @Test
-    public void stopsWaitingForAPresetThatWasSuperseded() {
+    public void stopsWaitingForSupersededPreset() {
         mApi.statuses(status("maintenance", 2, 1));
 
         ExitCode code = run("preset", "use", "ordinary", "--wait");
@@ -238,7 +239,7 @@
     }
 
     @Test(dataProvider = "misuses")
-    public void refusesAWrongCommandLine(String line, String message) {
+    public void rejectsInvalidCommandLine(String line, String message) {
         assertEquals(runBare(line.split(" ")), ExitCode.USAGE);
         assertTrue(err().contains(message), err());
     }
@@ -250,12 +251,12 @@
             {"[[service]]\nkind = \"MODEL\"", "no usable name"},
             {"[[service]]\nname = \"a\"\n[[service]]\nname = \"a\"", "twice"},
             {"[[service]", "line 1"},
-            {"", "declares nothing"},
+            {"", "declares no objects"},
         };
     }
 
     @Test(dataProvider = "badFiles")
-    public void refusesABadFileBeforeAnythingIsSent(String text, String message)
+    public void rejectsBadFileBeforeSendingAnything(String text, String message)
             throws IOException {
         assertEquals(run("apply", "-f", file(text)), ExitCode.BAD_FILE);
         assertTrue(err().contains(message), err());
@@ -263,7 +264,7 @@
     }
 
     @Test
-    public void aKindsApplyTakesOnlyThatKind() throws IOException {
+    public void applyOfOneKindRejectsOtherKinds() throws IOException {
         assertEquals(run("service", "apply", "-f", file(OBJECTS)), ExitCode.BAD_FILE);
         assertTrue(err().contains("unknown section"), err());
     }
@@ -290,11 +291,12 @@
     }
 
     private ExitCode run(String... line) {
-        // The one server stands for two entry hosts, so that a change sent to both is seen twice.
+        // The same server is listed twice, so that a change sent to both entry hosts is counted
+        // twice.
         String server = "127.0.0.1:" + mServer.activeLocalPort();
-        List<String> all = new ArrayList<>(Arrays.asList(line));
-        all.addAll(List.of("--server", server, "--server", server));
-        return runBare(all.toArray(String[]::new));
+        List<String> arguments = new ArrayList<>(Arrays.asList(line));
+        arguments.addAll(List.of("--server", server, "--server", server));
+        return runBare(arguments.toArray(String[]::new));
     }
 
     private ExitCode runBare(String... line) {
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/FakeOperatorApi.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/FakeOperatorApi.java
@@ -19,38 +19,40 @@
 import java.util.TreeMap;
 import org.cyclamenpaddle.ctl.report.Json;
 
-/** The operators' API over objects in memory, with switches for lost answers and races. */
+/**
+ * In-memory operators' API with version checks that can lose responses and report unknown outcomes.
+ */
 public final class FakeOperatorApi {
 
-    /** When the answer to a change gets lost. */
-    public enum Loss {
+    /** When the response to a change is lost. */
+    public enum ResponseLoss {
         NEVER,
-        /** The host fails before the change, with an answer that says nothing. */
+        /** The host fails before the change; the response does not contain an outcome. */
         BEFORE_CHANGE,
-        /** The connection breaks after the change. */
+        /** The response is aborted after the change. */
         AFTER_CHANGE
     }
 
     private final Map<String, ObjectNode> mObjects = new TreeMap<>();
     private final Deque<JsonNode> mStatuses = new ArrayDeque<>();
     private long mRevision;
-    private Loss mLoss = Loss.NEVER;
+    private ResponseLoss mResponseLoss = ResponseLoss.NEVER;
     private int mChangeRequests;
-    private boolean mUnsure;
+    private boolean mOutcomeUnknown;
 
-    /** Loses the answers to all changes from now on. */
-    public synchronized void lose(Loss loss) {
-        mLoss = loss;
+    /** Loses the responses to all subsequent changes. */
+    public synchronized void loseResponses(ResponseLoss loss) {
+        mResponseLoss = loss;
     }
 
-    /** Answers the next status requests with these documents; the last one stays. */
+    /** Sets the responses to the next status requests; the last one is repeated. */
     public synchronized void statuses(JsonNode... statuses) {
         mStatuses.addAll(java.util.List.of(statuses));
     }
 
-    /** Refuses all lists and changes with an unknown outcome. */
-    public synchronized void beUnsure() {
-        mUnsure = true;
+    /** Rejects all subsequent lists and changes with an unknown outcome. */
+    public synchronized void reportUnknownOutcomes() {
+        mOutcomeUnknown = true;
     }
 
     public synchronized int changeRequests() {
@@ -73,15 +75,15 @@
 
     @Get("/objects/{kind}")
     public synchronized HttpResponse list(@Param("kind") String kind) {
-        if (mUnsure) {
+        if (mOutcomeUnknown) {
             return problem(503, "change-unknown", Json.object().put("outcome", "unknown"));
         }
-        ObjectNode answer = Json.object();
-        var array = answer.putArray("objects");
+        ObjectNode response = Json.object();
+        var array = response.putArray("objects");
         mObjects.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(kind + "/"))
                 .forEach(entry -> array.add(entry.getValue()));
-        return json(answer);
+        return json(response);
     }
 
     @Get("/objects/{kind}/{name}")
@@ -132,10 +134,10 @@
         if (!request.equals("r-1")) {
             return problem(404, "unknown-object", Json.object());
         }
-        ObjectNode answer = Json.object().put("request", request);
-        answer.putArray("decisions")
+        ObjectNode response = Json.object().put("request", request);
+        response.putArray("decisions")
                 .add(Json.object().put("afterMillis", 3).put("step", "placed").put("text", "d1"));
-        return json(answer);
+        return json(response);
     }
 
     private synchronized HttpResponse change(
@@ -143,10 +145,10 @@
             AggregatedHttpRequest request,
             java.util.function.Function<String, Long> change) {
         mChangeRequests++;
-        if (mUnsure) {
+        if (mOutcomeUnknown) {
             return problem(503, "change-unknown", Json.object().put("outcome", "unknown"));
         }
-        if (mLoss == Loss.BEFORE_CHANGE) {
+        if (mResponseLoss == ResponseLoss.BEFORE_CHANGE) {
             return HttpResponse.of(500);
         }
         ObjectNode current = mObjects.get(path);
@@ -159,20 +161,22 @@
             return problem(409, "conflict", winner);
         }
         long written = change.apply(request.headers().get("x-change-id"));
-        return mLoss == Loss.AFTER_CHANGE ? broken() : json(Json.object().put("version", written));
+        return mResponseLoss == ResponseLoss.AFTER_CHANGE
+                ? brokenResponse()
+                : json(Json.object().put("version", written));
     }
 
-    private static HttpResponse broken() {
-        HttpResponseWriter answer = HttpResponse.streaming();
-        answer.write(ResponseHeaders.of(HttpStatus.OK));
-        answer.close(new IllegalStateException("answer lost"));
-        return answer;
+    private static HttpResponse brokenResponse() {
+        HttpResponseWriter response = HttpResponse.streaming();
+        response.write(ResponseHeaders.of(HttpStatus.OK));
+        response.close(new IllegalStateException("response lost"));
+        return response;
     }
 
     private static HttpResponse problem(int status, String reason, ObjectNode members) {
         ObjectNode document = Json.object();
         document.put("title", "Refused.");
-        document.put("detail", "as the test asks");
+        document.put("detail", "rejected by the test");
         document.put("reason", reason);
         document.put("outcome", "not-run");
         document.setAll(members);
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/ExampleObjectsTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/ExampleObjectsTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test(dataProvider = "examples")
-    public void everyObjectIsSoundAndFitsTheOthers(String user, int backends) {
+    public void exampleObjectsAreValidAndConsistent(String user, int backends) {
         String file = Path.of("..", "examples", user, "objects.toml").toString();
 
         List<ConfigurationObject> objects =
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/LogExplainCommandTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/LogExplainCommandTest.java
@@ -17,13 +17,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the way from a request's id to its cause in relays' logs. */
+/** Tests that the log lines of relays that explain a request are found by its id. */
 public class LogExplainCommandTest {
 
     private static final String LOG =
             line("00", "h1", "CP2108", "'backend':'i-1','cause':'reset'")
                     + line("09", "h2", "CP2108", "'backend':'i-1','cause':'reset'")
-                    + "java.io.IOException: a line that is no decision\n"
+                    + "java.io.IOException: not a decision line\n"
                     + line("10.2", "h1", "CP2202", "'request':'r7','told':502,'reason':'reset'")
                     + line("10.1", "h1", "CP2205", "'request':'r7','backend':'i-1'")
                     + line("09.5", "h1", "CP2106", "'backend':'i-1','stage':'DECODE'")
@@ -63,11 +63,12 @@
     }
 
     /*
-     * A caller was told 502. Its own lines name the server and the end of the connection; the lines
-     * before them on the same host say what was known of that server and of the store.
+     * A caller received status 502. The lines of its request contain the backend server and the
+     * reset of the connection; earlier lines of the same host contain the state changes of that
+     * server and of the store.
      */
     @Test
-    public void ownLinesStandInOrderWithWhatWasBelievedBefore() {
+    public void requestLinesAreShownInOrderWithPrecedingStateChanges() {
         Report report = explain("r7").get();
         List<String> codes = report.tables().get(0).rows().stream().map(row -> row.get(2)).toList();
         assertEquals(codes, List.of("CP2106", "CP2101", "CP2205", "CP2202"));
@@ -75,12 +76,12 @@
     }
 
     @Test
-    public void requestThatNoLineNamesIsNotFound() {
+    public void unknownRequestIsNotFound() {
         assertEquals(explain("r9").getLeft().code(), ExitCode.NOT_FOUND);
     }
 
     @Test
-    public void missingFileIsSaid() {
+    public void missingFileIsReported() {
         Arguments arguments =
                 new Arguments(
                         Optional.empty(),
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/LogReportCommandTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/LogReportCommandTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests what is summed up of relays' logs. */
+/** Tests the summary of relay logs. */
 public class LogReportCommandTest {
 
     private static final String LOG =
@@ -36,7 +36,7 @@
     private Path mFile;
 
     @BeforeMethod
-    public void makeFile() throws IOException {
+    public void createFile() throws IOException {
         mFile = Files.createTempFile("relay", ".log");
     }
 
@@ -65,36 +65,36 @@
     }
 
     @Test
-    public void endsAreCountedBySecondByRouteAndByReason() throws IOException {
-        JsonNode all = report(LOG).get().document();
-        assertEquals(all.path("seconds").size(), 2);
-        assertEquals(all.path("seconds").path(0).path("refused").asLong(), 1);
-        JsonNode second = all.path("seconds").path(1);
+    public void requestEndsAreCountedBySecondRouteAndReason() throws IOException {
+        JsonNode summary = report(LOG).get().document();
+        assertEquals(summary.path("seconds").size(), 2);
+        assertEquals(summary.path("seconds").path(0).path("refused").asLong(), 1);
+        JsonNode second = summary.path("seconds").path(1);
         assertEquals(second.path("answered").asLong(), 2);
         assertEquals(second.path("sentAgain").asLong(), 1);
         assertEquals(second.path("failed").asLong(), 1);
         assertEquals(second.path("cut").asLong(), 1);
         assertEquals(second.path("gone").asLong(), 1);
-        assertEquals(all.path("routes").path(0).path("place50").asLong(), 100);
-        assertEquals(all.path("routes").path(0).path("read50").asLong(), 200);
-        assertEquals(all.path("routes").path(0).path("pause95").asLong(), 60);
-        assertEquals(all.path("reasons").path(1).path("reason").asText(), "reset");
-        assertEquals(all.path("reasons").path(1).path("requests").asLong(), 2);
+        assertEquals(summary.path("routes").path(0).path("place50").asLong(), 100);
+        assertEquals(summary.path("routes").path(0).path("read50").asLong(), 200);
+        assertEquals(summary.path("routes").path(0).path("pause95").asLong(), 60);
+        assertEquals(summary.path("reasons").path(1).path("reason").asText(), "reset");
+        assertEquals(summary.path("reasons").path(1).path("requests").asLong(), 2);
     }
 
-    /** A line that was cut, one of another program and a stack trace: the rest is used. */
+    /** A truncated line, a line of another program, a stack trace and an array are skipped. */
     @Test
-    public void linesThatAreNotOursAreCountedAndLeftOut() throws IOException {
+    public void foreignLinesAreSkippedAndCounted() throws IOException {
         String mixed = LOG.substring(0, 40) + "\n" + LOG + "{'a':1}\n  at java.lang.Thread\n[]\n";
-        JsonNode all = report(mixed).get().document();
-        assertEquals(all.path("skippedLines").asLong(), 4);
-        assertEquals(all.path("seconds").size(), 2);
+        JsonNode summary = report(mixed).get().document();
+        assertEquals(summary.path("skippedLines").asLong(), 4);
+        assertEquals(summary.path("seconds").size(), 2);
     }
 
     @Test
-    public void fileWithoutAnyRequestIsSaid() throws IOException {
+    public void fileWithoutRequestsIsReported() throws IOException {
         CommandError error = report("not ours\n").getLeft();
         assertEquals(error.code(), ExitCode.NOT_FOUND);
-        assertTrue(error.message().contains("1 lines are no decision lines"), error.message());
+        assertTrue(error.message().contains("1 lines are not decision lines"), error.message());
     }
 }
--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/OperationsPageTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/OperationsPageTest.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.ctl.report.ExitCode;
 import org.testng.annotations.Test;
 
-/** Holds the page on operations against the commands and exit codes of the program. */
+/** Checks that the operations page lists the commands and exit codes of the program. */
 public class OperationsPageTest {
 
     private static final Path PAGE = Path.of("..", "docs", "OPERATIONS.md");
