--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -87,7 +87,7 @@
 
     private void fetchReport(Backend engine, Runnable done) {
         mRelay.connections()
-                .keptClient(engine.address(), engine.port())
+                .keepAliveClient(engine.address(), engine.port())
                 .execute(
                         HttpRequest.of(mRelay.engineMessages().report(engine)),
                         RequestOptions.builder()
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -107,7 +107,7 @@
      */
     static void sendIgnoringFailure(RelayContext relay, Backend backend, RequestHeaders call) {
         relay.connections()
-                .keptClient(backend.address(), backend.port())
+                .keepAliveClient(backend.address(), backend.port())
                 .execute(
                         HttpRequest.of(call),
                         RequestOptions.builder().responseTimeoutMillis(CALL_TIMEOUT_MILLIS).build())
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -80,7 +80,7 @@
             byte[] body) {}
 
     /** Starts a call; the future never completes exceptionally. */
-    public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(RepeatableCall call) {
+    public CompletableFuture<Either<Refusal, PlainResult.Response>> start(RepeatableCall call) {
         synchronized (mBudget) {
             mBudget.recordRequest(call.service().name(), mClock.millis());
         }
@@ -94,7 +94,7 @@
         return mInFlight.get();
     }
 
-    private CompletableFuture<Either<Refusal, PlainResult.Answered>> attempt(
+    private CompletableFuture<Either<Refusal, PlainResult.Response>> attempt(
             RepeatableCall call, long deadline, Set<BackendId> tried) {
         long left = deadline - mClock.millis();
         Optional<BackendSpec> chosen = mSelector.select(call.service().name(), tried);
@@ -121,14 +121,14 @@
                 timeoutMillis);
     }
 
-    private CompletableFuture<Either<Refusal, PlainResult.Answered>> settle(
+    private CompletableFuture<Either<Refusal, PlainResult.Response>> settle(
             RepeatableCall call,
             long deadline,
             Set<BackendId> tried,
             BackendSpec backend,
             PlainResult result) {
         mSelector.inFlight(backend.id(), -1);
-        if (result instanceof PlainResult.Answered answered) {
+        if (result instanceof PlainResult.Response answered) {
             return CompletableFuture.completedFuture(Either.right(answered));
         }
         if (result instanceof PlainResult.NothingSent) {
@@ -147,7 +147,7 @@
         }
     }
 
-    private static CompletableFuture<Either<Refusal, PlainResult.Answered>> refused(
+    private static CompletableFuture<Either<Refusal, PlainResult.Response>> refused(
             RefusalReason reason) {
         return CompletableFuture.completedFuture(Either.left(Refusal.of(reason, "")));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
@@ -269,16 +269,16 @@
         if (response.get() instanceof ChangeResult.Accepted accepted) {
             return Either.right(accepted.version());
         }
-        ChangeResult.Lost lost = (ChangeResult.Lost) response.get();
+        ChangeResult.Conflict lost = (ChangeResult.Conflict) response.get();
         return Either.left(
                 new ChangeRefusal(
                         Refusal.of(
                                 RefusalReason.CONFLICT,
                                 key.path()
-                                        + lost.winner()
+                                        + lost.current()
                                                 .map(w -> " is at version " + w.version() + ".")
                                                 .orElse(" does not exist.")),
-                        lost.winner().flatMap(winner -> stored(key, winner))));
+                        lost.current().flatMap(winner -> stored(key, winner))));
     }
 
     private CompletableFuture<Optional<Refusal>> checked(
