--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
@@ -67,7 +67,7 @@
             mPending.decrementAndGet();
             return;
         }
-        mMetrics.retried(RetryReason.CANCEL_UNCONFIRMED);
+        mMetrics.recordRetry(RetryReason.CANCEL_UNCONFIRMED);
         long delayMillis = INITIAL_RETRY_DELAY_MILLIS << Math.min(MAX_BACKOFF_SHIFT, failures);
         mWorkers.schedule(
                 Math.min(MAX_RETRY_DELAY_MILLIS, delayMillis),
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpResponse;
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
-import org.cyclamenpaddle.router.fixture.OpenAnswer;
+import org.cyclamenpaddle.router.fixture.StreamingResponse;
 import org.cyclamenpaddle.router.fixture.TestFleet;
 import org.cyclamenpaddle.standins.engine.AnswerText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
@@ -27,7 +27,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(2, 3, EngineSettings.DEFAULT).hosts(2).configured();
+        mFleet = new TestFleet().engines(2, 3, EngineSettings.DEFAULT).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -41,7 +41,7 @@
     // without the failure.
     @Test
     public void responseIsCompleteAfterDecodeEngineCrash() {
-        OpenAnswer response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+        StreamingResponse response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
         int busy = busyDecode();
         mFleet.decode(busy).restartAfterCrash(200);
 
@@ -56,7 +56,7 @@
     // stream is resumed from its next index over a new connection.
     @Test
     public void responseIsCompleteAfterOpenStreamsGoSilent() {
-        OpenAnswer response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+        StreamingResponse response = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
 
         mFleet.decode(busyDecode()).silenceStreams();
 
