--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -52,7 +52,7 @@
     // claim names and dispatches once; the resend at the other host gets the same response.
     @Test
     public void lostClaimResponseIsResolvedByReadingBack() {
-        mFleet.platform().loseAnswers(1);
+        mFleet.platform().loseResponses(1);
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-lost", "2");
         HttpResponse<String> again = mFleet.caller("h2").book("k-lost", "2");
@@ -66,8 +66,8 @@
     // run, so the caller gets "unknown", never "not run"; resends at both hosts run nothing again.
     @Test
     public void lostServiceAnswerIsUnknownAndNeverRunsAgain() {
-        mFleet.plain(1).loseAnswers(1);
-        mFleet.plain(2).loseAnswers(1);
+        mFleet.plain(1).loseResponses(1);
+        mFleet.plain(2).loseResponses(1);
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-cut", "3");
         HttpResponse<String> again = mFleet.caller("h2").book("k-cut", "3");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.StreamingResponse;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -47,7 +47,7 @@
 
         mFleet.decode(busy).crash();
 
-        assertEquals(response.text(), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(response.text(), CompletionText.generate(PROMPT, TOKENS));
         Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
@@ -60,7 +60,7 @@
 
         mFleet.decode(busyDecode()).silenceStreams();
 
-        assertEquals(response.text(), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(response.text(), CompletionText.generate(PROMPT, TOKENS));
     }
 
     // The first transfer stalls. Its deadline passes, the attempt is cancelled, and the request is
@@ -72,7 +72,7 @@
 
         HttpResponse<String> response = mFleet.caller("h1").complete(PROMPT, 10, true);
 
-        assertEquals(Caller.text(response.body()), AnswerText.whole(PROMPT, 10));
+        assertEquals(Caller.text(response.body()), CompletionText.generate(PROMPT, 10));
         Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.Operator;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.cyclamenpaddle.standins.platform.Outage;
 import org.testng.annotations.AfterMethod;
@@ -99,7 +99,7 @@
     public void lostResponseOfAcceptedPresetIsResolved() {
         long baseVersion =
                 mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
-        mFleet.platform().loseAnswers(1);
+        mFleet.platform().loseResponses(1);
 
         HttpResponse<String> response = use("h1", "peak", baseVersion);
 
@@ -126,7 +126,7 @@
                 () -> mFleet.caller("h3").complete(PROMPT, 4, true).statusCode() == 200);
         assertEquals(
                 Caller.text(mFleet.caller("h3").complete(PROMPT, 4, true).body()),
-                AnswerText.whole(PROMPT, 4));
+                CompletionText.generate(PROMPT, 4));
         HttpResponse<String> refused = use("h3", "maintenance", baseVersion);
         assertTrue(refused.statusCode() >= 500, refused.body());
         assertEquals(inForce("h3"), "peak");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
@@ -19,7 +19,7 @@
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 
 /**
  * Callers that stream and book at three hosts while faults are injected. Calls, faults and pauses
@@ -139,7 +139,7 @@
         if (response.body().contains("event: error") || response.statusCode() != 200) {
             mIncomplete.incrementAndGet();
         } else {
-            finished(host, response, AnswerText.whole(prompt, tokens));
+            finished(host, response, CompletionText.generate(prompt, tokens));
         }
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
@@ -14,7 +14,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.HostProcess;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -97,7 +97,7 @@
         Await.until("engines hold no memory", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     private void awaitMoreAnswers() {
@@ -123,7 +123,7 @@
                     response.statusCode(),
                     200,
                     response.statusCode() == 200 ? "" : describeFailure(host, response));
-            assertEquals(Caller.text(response.body()), AnswerText.whole(prompt, TOKENS));
+            assertEquals(Caller.text(response.body()), CompletionText.generate(prompt, TOKENS));
             mAnswers.incrementAndGet();
         }
     }
