--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -216,7 +216,7 @@
         if (cameBack) {
             // The connection to the life before is backing off for up to two seconds. Asks of the
             // ledgers that the host now owns would fail all that time, and requests be refused.
-            mNetwork.forget(host.incarnation().host());
+            mNetwork.removeHost(host.incarnation().host());
         }
         mWorkers.execute(
                 () -> {
