--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FieldReader.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FieldReader.java
@@ -18,24 +18,27 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads message fields with bounds; the counterpart of {@link FieldWriter}.
+ * Reads the fields of a message and checks their bounds; the counterpart of {@link FieldWriter}.
  *
- * <p>Each method throws an unchecked exception of MessagePack or an {@link
- * IllegalArgumentException} if the next field is not of its kind.
+ * <p>Each method throws an unchecked MessagePack exception or an {@link IllegalArgumentException}
+ * if the next field has another type or is out of bounds.
  */
 final class FieldReader {
 
-    /** Longest name, address or other short text, in bytes. */
-    private static final int MAX_SHORT_TEXT = 1_024;
+    /** Maximum length of a name, an address or another short text, in bytes. */
+    private static final int MAX_SHORT_TEXT_BYTES = 1_024;
 
-    /** Most elements of a list or map; 810 teams and 770 backend servers stay far below. */
+    /**
+     * Maximum number of elements of a list or map; a fleet of 810 teams and 770 backend servers
+     * stays far below it.
+     */
     static final int MAX_ELEMENTS = 16_384;
 
     private static final int MAX_PORT = 65_535;
 
     private final MessageUnpacker mUnpacker;
 
-    /** Reads one value of a list. */
+    /** Reads one element of a list, a set or an optional. */
     @FunctionalInterface
     interface Element<T> {
         T read() throws IOException;
@@ -58,18 +61,18 @@
     }
 
     String text() throws IOException {
-        return text(MAX_SHORT_TEXT);
+        return text(MAX_SHORT_TEXT_BYTES);
     }
 
-    /** Reads a text that is bounded by the frame only. */
+    /** Reads a text whose length is bounded only by the size of a frame. */
     String document() throws IOException {
         return text(FrameCodec.MAX_FRAME_BYTES);
     }
 
     <E extends Enum<E>> E constant(E[] constants) throws IOException {
-        int place = integer();
-        check(place >= 0 && place < constants.length, "constant", place);
-        return constants[place];
+        int ordinal = integer();
+        check(ordinal >= 0 && ordinal < constants.length, "constant", ordinal);
+        return constants[ordinal];
     }
 
     Incarnation incarnation() throws IOException {
@@ -131,9 +134,9 @@
         return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     }
 
-    private static void check(boolean holds, String what, long found) {
-        if (!holds) {
-            throw new IllegalArgumentException(what + " " + found + " is out of bounds");
+    private static void check(boolean valid, String field, long value) {
+        if (!valid) {
+            throw new IllegalArgumentException(field + " " + value + " is out of bounds");
         }
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FieldWriter.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FieldWriter.java
@@ -8,12 +8,12 @@
 import org.cyclamenpaddle.core.message.HostRecord;
 import org.msgpack.core.MessagePacker;
 
-/** Writes message fields; the counterpart of {@link FieldReader}. */
+/** Writes the fields of a message; the counterpart of {@link FieldReader}. */
 final class FieldWriter {
 
     private final MessagePacker mPacker;
 
-    /** Writes one value of a list. */
+    /** Writes one element of a list or an optional. */
     @FunctionalInterface
     interface Element<T> {
         void write(T value) throws IOException;
@@ -35,7 +35,7 @@
         mPacker.packString(value);
     }
 
-    /** Writes an enum constant as its place in the declaration, from 0. */
+    /** Writes an enum constant as its ordinal. */
     void constant(Enum<?> value) throws IOException {
         mPacker.packInt(value.ordinal());
     }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FrameCodec.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FrameCodec.java
@@ -11,30 +11,30 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Converts frames, without their length prefix, to bytes and back.
+ * Encodes and decodes frames, without their length prefix.
  *
- * <p>Strict both ways, and total: no input makes it throw or take memory beyond a few times the
- * input's length. Thread-safe.
+ * <p>Decoding is strict and accepts any input: malformed bytes give an error value, never an
+ * exception, and allocate no more than a few times their length. Thread-safe.
  */
 public final class FrameCodec {
 
-    /** Longest frame, in bytes after the length prefix. */
+    /** Maximum length of a frame, in bytes, without the length prefix. */
     public static final int MAX_FRAME_BYTES = 1 << 20;
 
     /** Protocol version of this build. */
     public static final byte VERSION = 1;
 
     /**
-     * Returns the bytes of a frame, or {@link FrameError#TOO_LONG}.
+     * Encodes a frame, or returns {@link FrameError#TOO_LONG}.
      *
-     * <p>Configuration that does not fit as a whole is cut to its first objects; the receiver gets
-     * the others when it asks again.
+     * <p>A configuration response that exceeds a frame is truncated to its first objects; the
+     * receiver gets the others with its next request.
      *
      * @param frame the frame
      */
     public Either<FrameError, byte[]> encode(Frame frame) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            PeerMessage message = ConfigurationCut.fitting(frame.message());
+            PeerMessage message = ConfigurationTruncation.truncateToFit(frame.message());
             MessageType type = MessageType.of(message);
             packer.addPayload(new byte[] {VERSION});
             packer.packInt(type.code());
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Returns the frame that bytes stand for, or what is wrong with them.
+     * Decodes a frame, or returns why the bytes are malformed.
      *
      * @param bytes one frame without its length prefix
      */
@@ -67,7 +67,7 @@
         try (MessageUnpacker unpacker =
                 MessagePack.newDefaultUnpacker(bytes, 1, bytes.length - 1)) {
             return read(unpacker);
-        } catch (MessageInsufficientBufferException cutOff) {
+        } catch (MessageInsufficientBufferException truncated) {
             return Either.left(FrameError.CUT_OFF);
         } catch (MessagePackException | IllegalArgumentException | IOException malformed) {
             return Either.left(FrameError.BAD_FIELDS);
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FrameError.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/FrameError.java
@@ -1,19 +1,20 @@
 package org.cyclamenpaddle.peer.codec;
 
-/** What can be wrong with a frame; its connection is closed. */
+/** Why a received frame was rejected and its connection closed. */
 public enum FrameError {
     /** The frame is longer than {@link FrameCodec#MAX_FRAME_BYTES}. */
     TOO_LONG,
-    /** The connection, or the frame, ended before its last field. */
+    /** The connection or the frame ended before the last field. */
     CUT_OFF,
-    /** The frame is of another protocol version. */
+    /** The frame has another protocol version. */
     WRONG_VERSION,
-    /** No message has this type number. */
+    /** No message type has this number. */
     UNKNOWN_TYPE,
-    /** A field is of another type, out of bounds or left over. */
+    /** A field has another type or is out of bounds, or bytes follow the last field. */
     BAD_FIELDS,
     /**
-     * Another message came before the first {@code Hello}, or the {@code Hello} of another host.
+     * Another message preceded the first {@code Hello}, or the {@code Hello} came from another host
+     * than the one expected.
      */
     BAD_HELLO
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/MessageType.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/MessageType.java
@@ -22,7 +22,7 @@
 import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.message.StrikeNotice;
 
-/** The messages of the peer protocol, each with its type number and its fields. */
+/** Message types of the peer protocol, each with its type number and the encoding of its fields. */
 enum MessageType {
     HELLO(1, Hello.class, (out, m) -> out.host(m.sender()), in -> new Hello(in.host())),
     HEARTBEAT(2, Heartbeat.class, MessageType::writeHeartbeat, MessageType::readHeartbeat),
@@ -39,9 +39,13 @@
                 out.flag(m.reachable());
             },
             in -> new ProbeResponse(in.incarnation(), in.flag())),
-    GRANT_REQUEST(5, GrantRequest.class, NestedFields::writeGrantAsk, NestedFields::readGrantAsk),
+    GRANT_REQUEST(
+            5, GrantRequest.class, NestedFields::writeGrantRequest, NestedFields::readGrantRequest),
     GRANT_RESPONSE(
-            6, GrantResponse.class, MessageType::writeGrantAnswer, MessageType::readGrantAnswer),
+            6,
+            GrantResponse.class,
+            MessageType::writeGrantResponse,
+            MessageType::readGrantResponse),
     GRANT_RELEASE(
             7,
             GrantRelease.class,
@@ -53,8 +57,8 @@
     GRANT_REGISTER(
             8,
             GrantRegister.class,
-            (out, m) -> out.list(m.held(), ask -> NestedFields.writeGrantAsk(out, ask)),
-            in -> new GrantRegister(in.list(() -> NestedFields.readGrantAsk(in)))),
+            (out, m) -> out.list(m.held(), request -> NestedFields.writeGrantRequest(out, request)),
+            in -> new GrantRegister(in.list(() -> NestedFields.readGrantRequest(in)))),
     CONFIGURATION_REQUEST(
             9,
             ConfigurationRequest.class,
@@ -78,12 +82,13 @@
             ClaimResponse.class,
             (out, m) -> {
                 out.constant(m.state());
-                out.optional(m.response(), answer -> NestedFields.writeKeptAnswer(out, answer));
+                out.optional(
+                        m.response(), response -> NestedFields.writeStoredResponse(out, response));
             },
             in ->
                     new ClaimResponse(
                             in.constant(ClaimResponse.State.values()),
-                            in.optional(() -> NestedFields.readKeptAnswer(in)))),
+                            in.optional(() -> NestedFields.readStoredResponse(in)))),
     STRIKE_NOTICE(
             13,
             StrikeNotice.class,
@@ -129,7 +134,7 @@
         return Arrays.stream(values())
                 .filter(type -> type.mType.isInstance(message))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no type for " + message));
+                .orElseThrow(() -> new IllegalArgumentException("no message type for " + message));
     }
 
     int code() {
@@ -163,7 +168,7 @@
                 in.list(() -> NestedFields.readLedger(in)));
     }
 
-    private static void writeGrantAnswer(FieldWriter out, GrantResponse m) throws IOException {
+    private static void writeGrantResponse(FieldWriter out, GrantResponse m) throws IOException {
         out.text(m.attempt().value());
         out.text(m.backend().value());
         out.constant(m.decision());
@@ -171,7 +176,7 @@
         out.number(m.endInMillis());
     }
 
-    private static GrantResponse readGrantAnswer(FieldReader in) throws IOException {
+    private static GrantResponse readGrantResponse(FieldReader in) throws IOException {
         return new GrantResponse(
                 new AttemptId(in.text()),
                 new BackendId(in.text()),
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/NestedFields.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/NestedFields.java
@@ -11,12 +11,12 @@
 import org.cyclamenpaddle.core.message.GrantRequest;
 import org.cyclamenpaddle.core.message.LedgerSummary;
 
-/** Fields of the records that stand inside messages. */
+/** Reads and writes the records that are nested in messages. */
 final class NestedFields {
 
     private NestedFields() {}
 
-    static void writeGrantAsk(FieldWriter out, GrantRequest m) throws IOException {
+    static void writeGrantRequest(FieldWriter out, GrantRequest m) throws IOException {
         out.text(m.attempt().value());
         out.text(m.backend().value());
         out.constant(m.role());
@@ -28,7 +28,7 @@
         out.number(m.holdMillis());
     }
 
-    static GrantRequest readGrantAsk(FieldReader in) throws IOException {
+    static GrantRequest readGrantRequest(FieldReader in) throws IOException {
         return new GrantRequest(
                 new AttemptId(in.text()),
                 new BackendId(in.text()),
@@ -64,19 +64,20 @@
         String path = in.text();
         Optional<ObjectKey> key = ObjectKey.fromPath(path);
         if (key.isEmpty()) {
-            throw new IllegalArgumentException("no object has key '" + path + "'");
+            throw new IllegalArgumentException(
+                    "expected the path of a configuration object, got '" + path + "'");
         }
         return new ConfigurationObject(key.get(), in.number(), in.optional(in::document));
     }
 
-    static void writeKeptAnswer(FieldWriter out, ClaimResponse.StoredResponse m)
+    static void writeStoredResponse(FieldWriter out, ClaimResponse.StoredResponse m)
             throws IOException {
         out.number(m.status());
         out.text(m.contentType());
         out.text(m.body());
     }
 
-    static ClaimResponse.StoredResponse readKeptAnswer(FieldReader in) throws IOException {
+    static ClaimResponse.StoredResponse readStoredResponse(FieldReader in) throws IOException {
         return new ClaimResponse.StoredResponse(in.integer(), in.text(), in.document());
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/package-info.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/package-info.java
@@ -1,2 +1,4 @@
-/** Frames between entry hosts: MessagePack fields in, typed messages out, and back. */
+/**
+ * Encoding and decoding of the frames between entry hosts: typed messages as MessagePack fields.
+ */
 package org.cyclamenpaddle.peer.codec;
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Backoff.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Backoff.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.peer.net;
 
-/** Doubling wait between failed connects to one host; not thread-safe. */
+/** Exponential backoff between failed connection attempts to one host; not thread-safe. */
 final class Backoff {
 
     private final long mMinMillis;
@@ -13,7 +13,10 @@
         mMaxMillis = maxMillis;
     }
 
-    /** Returns how long to wait before the next connect; 0 if it may be made now. */
+    /**
+     * Returns the delay before the next connection attempt, in milliseconds; 0 if it may be made
+     * now.
+     */
     long waitMillis(long nowMillis) {
         return mUntilMillis <= nowMillis ? 0 : mUntilMillis - nowMillis;
     }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Dialer.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Dialer.java
@@ -10,15 +10,15 @@
 import java.util.function.Supplier;
 import org.cyclamenpaddle.core.message.HostRecord;
 
-/** Opens connections to other hosts. */
+/** Opens outgoing connections to other hosts. */
 final class Dialer {
 
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final Supplier<HostRecord> mSelf;
     private final PeerSettings mSettings;
 
-    Dialer(Wire wire, Supplier<HostRecord> self, PeerSettings settings) {
-        mWire = wire;
+    Dialer(FrameTransport transport, Supplier<HostRecord> self, PeerSettings settings) {
+        mTransport = transport;
         mSelf = self;
         mSettings = settings;
     }
@@ -41,8 +41,8 @@
                             protected void initChannel(Channel channel) {
                                 channel.pipeline()
                                         .addLast(
-                                                mWire.decoder(),
-                                                new OutgoingConnection(mWire, mSelf, events));
+                                                mTransport.newDecoder(),
+                                                new OutgoingConnection(mTransport, mSelf, events));
                             }
                         })
                 .connect(address, port);
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/FrameDecoder.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/FrameDecoder.java
@@ -10,14 +10,14 @@
 import org.cyclamenpaddle.peer.codec.FrameCodec;
 import org.cyclamenpaddle.peer.codec.FrameError;
 
-/** Cuts incoming bytes into frames; closes the connection at the first that is wrong. */
+/** Decodes received bytes into frames; closes the connection at the first malformed frame. */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
 
     static final int LENGTH_BYTES = 4;
 
     private final FrameCodec mCodec;
     private final PeerCounters mCounters;
-    private boolean mRefused;
+    private boolean mRejected;
 
     FrameDecoder(FrameCodec codec, PeerCounters counters) {
         super(FrameCodec.MAX_FRAME_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
@@ -27,15 +27,15 @@
 
     @Override
     protected Object decode(ChannelHandlerContext context, ByteBuf in) throws Exception {
-        if (mRefused) {
+        if (mRejected) {
             in.skipBytes(in.readableBytes());
             return null;
         }
-        // The length is checked before the frame is waited for: else the other end could make this
-        // host keep bytes without bound, or wait for ever for a frame that it will refuse.
+        // The length is checked before the frame is buffered: otherwise the other end could make
+        // this host buffer bytes without bound, or wait forever for a frame that will be rejected.
         if (in.readableBytes() >= LENGTH_BYTES
                 && in.getUnsignedInt(in.readerIndex()) > FrameCodec.MAX_FRAME_BYTES) {
-            refuse(context, FrameError.TOO_LONG);
+            reject(context, FrameError.TOO_LONG);
             return null;
         }
         ByteBuf bytes = (ByteBuf) super.decode(context, in);
@@ -46,8 +46,8 @@
     protected void decodeLast(ChannelHandlerContext context, ByteBuf in, List<Object> out)
             throws Exception {
         super.decodeLast(context, in, out);
-        if (in.isReadable() && !mRefused) {
-            refuse(context, FrameError.CUT_OFF);
+        if (in.isReadable() && !mRejected) {
+            reject(context, FrameError.CUT_OFF);
         }
     }
 
@@ -55,15 +55,15 @@
         try {
             mCounters.frameReceived(bytes.readableBytes() + LENGTH_BYTES);
             Either<FrameError, Frame> frame = mCodec.decode(ByteBufUtil.getBytes(bytes));
-            frame.peekLeft(error -> refuse(context, error));
+            frame.peekLeft(error -> reject(context, error));
             return frame.getOrNull();
         } finally {
             bytes.release();
         }
     }
 
-    private void refuse(ChannelHandlerContext context, FrameError error) {
-        mRefused = true;
+    private void reject(ChannelHandlerContext context, FrameError error) {
+        mRejected = true;
         mCounters.frameRejected(error);
         context.close();
     }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Wire.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/FrameTransport.java
@@ -7,13 +7,13 @@
 import org.cyclamenpaddle.peer.codec.Frame;
 import org.cyclamenpaddle.peer.codec.FrameCodec;
 
-/** Writes frames to connections and makes the decoders of what comes in. */
-final class Wire {
+/** Writes frames to connections and creates the decoders of received ones. */
+final class FrameTransport {
 
     private final FrameCodec mCodec = new FrameCodec();
     private final PeerCounters mCounters;
 
-    Wire(PeerCounters counters) {
+    FrameTransport(PeerCounters counters) {
         mCounters = counters;
     }
 
@@ -25,11 +25,11 @@
         return mCounters;
     }
 
-    FrameDecoder decoder() {
+    FrameDecoder newDecoder() {
         return new FrameDecoder(mCodec, mCounters);
     }
 
-    /** Writes encoded bytes with their length prefix, without a flush. */
+    /** Writes encoded bytes with their length prefix, without flushing. */
     void write(Channel channel, byte[] bytes) {
         byte[] length = ByteBuffer.allocate(FrameDecoder.LENGTH_BYTES).putInt(bytes.length).array();
         ByteBuf frame = Unpooled.wrappedBuffer(length, bytes);
@@ -37,7 +37,7 @@
         channel.write(frame, channel.voidPromise());
     }
 
-    /** Encodes and writes a frame at once; one that is too long is dropped and counted. */
+    /** Encodes, writes and flushes a frame; one that is too long is dropped and counted. */
     void writeNow(Channel channel, Frame frame) {
         mCodec.encode(frame)
                 .peek(
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/IncomingConnection.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/IncomingConnection.java
@@ -14,18 +14,18 @@
 import org.cyclamenpaddle.peer.codec.FrameError;
 import org.jboss.logging.Logger;
 
-/** The accepting end of a connection: hears messages and writes answers. */
+/** Accepting end of a connection: passes messages to the listener and writes the responses. */
 final class IncomingConnection extends SimpleChannelInboundHandler<Frame> {
 
     private static final Logger LOG = Logger.getLogger(IncomingConnection.class);
 
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final Supplier<HostRecord> mSelf;
     private final PeerListener mListener;
-    private Optional<HostRecord> mFrom = Optional.empty();
+    private Optional<HostRecord> mSender = Optional.empty();
 
-    IncomingConnection(Wire wire, Supplier<HostRecord> self, PeerListener listener) {
-        mWire = wire;
+    IncomingConnection(FrameTransport transport, Supplier<HostRecord> self, PeerListener listener) {
+        mTransport = transport;
         mSelf = self;
         mListener = listener;
     }
@@ -33,14 +33,14 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
         if (frame.message() instanceof Hello hello) {
-            mFrom = Optional.of(hello.sender());
-            mWire.writeNow(
+            mSender = Optional.of(hello.sender());
+            mTransport.writeNow(
                     context.channel(), new Frame(frame.correlation(), new Hello(mSelf.get())));
-        } else if (mFrom.isEmpty()) {
-            mWire.counters().frameRejected(FrameError.BAD_HELLO);
+        } else if (mSender.isEmpty()) {
+            mTransport.counters().frameRejected(FrameError.BAD_HELLO);
             context.close();
         } else {
-            hear(context, mFrom.get(), frame);
+            dispatch(context, mSender.get(), frame);
         }
     }
 
@@ -53,37 +53,40 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
-        LOG.debugf(failure, "connection from %s broke", context.channel().remoteAddress());
+        LOG.debugf(failure, "connection from %s failed", context.channel().remoteAddress());
         context.close();
-        stopIfBroken(failure);
+        reportBrokenInvariant(failure);
     }
 
-    private void hear(ChannelHandlerContext context, HostRecord from, Frame frame) {
+    private void dispatch(ChannelHandlerContext context, HostRecord from, Frame frame) {
         mListener
                 .onMessage(from, frame.message())
                 .whenComplete(
-                        (answer, failure) -> {
+                        (response, failure) -> {
                             if (failure != null) {
-                                LOG.debugf(failure, "no answer to %s", frame.message());
-                                stopIfBroken(failure);
+                                LOG.debugf(failure, "no response to %s", frame.message());
+                                reportBrokenInvariant(failure);
                             } else if (frame.correlation() != Frame.ONE_WAY) {
-                                answer.ifPresent(message -> answer(context, frame, message));
+                                response.ifPresent(message -> respond(context, frame, message));
                             }
                         });
     }
 
-    private void answer(ChannelHandlerContext context, Frame ask, PeerMessage message) {
-        // Failure: a host asks and never reads, and its answers fill this host's memory. An answer
-        // that can't be written now is dropped; the asker's timeout covers it as a lost one.
+    private void respond(ChannelHandlerContext context, Frame request, PeerMessage message) {
+        // A host that sends requests but never reads would fill the memory of this host with
+        // responses. A response that can't be written now is dropped, and the requester times out
+        // as if it had been lost.
         if (context.channel().isWritable()) {
-            mWire.writeNow(context.channel(), new Frame(ask.correlation(), message));
+            mTransport.writeNow(context.channel(), new Frame(request.correlation(), message));
         } else {
-            mWire.counters().frameDropped(PeerCounters.DropReason.ASKER_STALLED);
+            mTransport.counters().frameDropped(PeerCounters.DropReason.ASKER_STALLED);
         }
     }
 
-    /** A broken invariant must stop the process, so it goes where an uncaught exception goes. */
-    private static void stopIfBroken(Throwable failure) {
+    /**
+     * Passes a broken invariant to the uncaught exception handler, since it must stop the process.
+     */
+    private static void reportBrokenInvariant(Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingConnection.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingConnection.java
@@ -8,19 +8,19 @@
 import org.cyclamenpaddle.peer.codec.Frame;
 import org.jboss.logging.Logger;
 
-/** The opening end of a connection: says hello first and hands on what comes back. */
+/** Opening end of a connection: sends a {@code Hello} first and passes received frames on. */
 final class OutgoingConnection extends SimpleChannelInboundHandler<Frame> {
 
-    /** Correlation number of the first {@code Hello}; asks have greater ones. */
+    /** Correlation number of each {@code Hello} sent; those of requests are greater. */
     static final long HELLO_CORRELATION = 1;
 
     private static final Logger LOG = Logger.getLogger(OutgoingConnection.class);
 
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final Supplier<HostRecord> mSelf;
     private final Events mEvents;
 
-    /** Hears what happens on one outgoing connection, on its event loop. */
+    /** Receives the events of one outgoing connection, on its event loop. */
     interface Events {
 
         void onFrame(ChannelHandlerContext context, Frame frame);
@@ -30,15 +30,16 @@
         default void onClosed() {}
     }
 
-    OutgoingConnection(Wire wire, Supplier<HostRecord> self, Events events) {
-        mWire = wire;
+    OutgoingConnection(FrameTransport transport, Supplier<HostRecord> self, Events events) {
+        mTransport = transport;
         mSelf = self;
         mEvents = events;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        mWire.writeNow(context.channel(), new Frame(HELLO_CORRELATION, new Hello(mSelf.get())));
+        mTransport.writeNow(
+                context.channel(), new Frame(HELLO_CORRELATION, new Hello(mSelf.get())));
     }
 
     @Override
@@ -58,7 +59,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
-        LOG.debugf(failure, "connection to %s broke", context.channel().remoteAddress());
+        LOG.debugf(failure, "connection to %s failed", context.channel().remoteAddress());
         context.close();
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingLink.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingLink.java
@@ -11,76 +11,86 @@
 import org.cyclamenpaddle.peer.codec.Frame;
 import org.cyclamenpaddle.peer.codec.FrameError;
 
-/** One outgoing connection, from the moment it is dialled; used on its event loop only. */
+/**
+ * State of one outgoing connection, from the start of the connection attempt; confined to its event
+ * loop.
+ */
 final class OutgoingLink implements OutgoingConnection.Events {
 
-    private final Owner mOwner;
+    private final Listener mListener;
     private final HostRecord mTarget;
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final Supplier<HostRecord> mSelf;
     private final Clock mClock;
     private Optional<Channel> mChannel = Optional.empty();
     private boolean mReady;
-    private boolean mProven;
-    private boolean mClosedHere;
-    private boolean mSignAsked;
-    private long mHeardMillis;
-    private long mSentMillis;
+    private boolean mEstablished;
+    private boolean mClosedLocally;
+    private boolean mLivenessCheckSent;
+    private long mLastReceivedMillis;
+    private long mLastSentMillis;
 
-    /** Hears what becomes of the connection. */
-    interface Owner {
+    /** Receives the events of the connection. */
+    interface Listener {
 
-        /** The other end said hello; frames may be written. */
+        /** Called when the {@code Hello} of the other end was received; frames may be written. */
         void onReady(OutgoingLink link);
 
-        /** Something came after the hello. */
-        void onProven();
+        /** Called at the first frame after the {@code Hello}. */
+        void onEstablished();
 
-        void onAnswer(long correlation, PeerMessage answer);
+        void onResponse(long correlation, PeerMessage response);
 
         void onWritable();
 
-        /** The connection is gone; {@code failed} if a new one should wait. */
-        void onLost(OutgoingLink link, boolean failed);
+        /**
+         * Called when the connection has closed; {@code failed} if a new one must wait for the
+         * backoff.
+         */
+        void onConnectionClosed(OutgoingLink link, boolean failed);
     }
 
     OutgoingLink(
-            Owner owner, HostRecord target, Wire wire, Supplier<HostRecord> self, Clock clock) {
-        mOwner = owner;
+            Listener listener,
+            HostRecord target,
+            FrameTransport transport,
+            Supplier<HostRecord> self,
+            Clock clock) {
+        mListener = listener;
         mTarget = target;
-        mWire = wire;
+        mTransport = transport;
         mSelf = self;
         mClock = clock;
-        mHeardMillis = clock.millis();
-        mSentMillis = mHeardMillis;
+        mLastReceivedMillis = clock.millis();
+        mLastSentMillis = mLastReceivedMillis;
     }
 
     @Override
     public void onFrame(ChannelHandlerContext context, Frame frame) {
-        mHeardMillis = mClock.millis();
-        mSignAsked = false;
-        if (mReady && !mProven) {
-            mProven = true;
-            mOwner.onProven();
+        mLastReceivedMillis = mClock.millis();
+        mLivenessCheckSent = false;
+        if (mReady && !mEstablished) {
+            mEstablished = true;
+            mListener.onEstablished();
         }
         if (frame.message() instanceof Hello hello) {
             onHello(context, hello);
         } else if (frame.correlation() != Frame.ONE_WAY) {
-            mOwner.onAnswer(frame.correlation(), frame.message());
+            mListener.onResponse(frame.correlation(), frame.message());
         }
     }
 
     @Override
     public void onWritable() {
-        mOwner.onWritable();
+        mListener.onWritable();
     }
 
-    // Failure: a host accepts and says hello, then closes at once, again and again; without a wait
-    // this host would dial it in a tight loop as long as frames are queued. Only a connection on
-    // which more than the hello came, or that was closed here, is replaced without a wait.
+    // A host that repeatedly accepts a connection, sends its Hello and closes would otherwise be
+    // dialed in a tight loop while frames are queued. Only a connection that received more than the
+    // Hello, or that was closed locally, is replaced without backoff.
     @Override
     public void onClosed() {
-        mOwner.onLost(this, !mProven && !mClosedHere);
+        mListener.onConnectionClosed(this, !mEstablished && !mClosedLocally);
     }
 
     void dialed(Channel channel) {
@@ -95,70 +105,72 @@
         return mChannel.orElseThrow();
     }
 
-    boolean leadsTo(HostRecord target) {
+    boolean connectsTo(HostRecord target) {
         return mTarget.address().equals(target.address())
                 && mTarget.peerPort() == target.peerPort();
     }
 
     void write(byte[] bytes) {
-        mSentMillis = mClock.millis();
-        mWire.write(channel(), bytes);
+        mLastSentMillis = mClock.millis();
+        mTransport.write(channel(), bytes);
     }
 
     boolean idleFor(long millis) {
-        return mClock.millis() - mSentMillis >= millis;
+        return mClock.millis() - mLastSentMillis >= millis;
     }
 
     boolean silentSince(long millis) {
-        return mHeardMillis <= millis;
+        return mLastReceivedMillis <= millis;
     }
 
-    /** Closes the connection because it is not wanted any more. */
+    /** Closes a connection that is no longer needed. */
     void close() {
-        mClosedHere = true;
-        giveUp();
+        mClosedLocally = true;
+        closeAsFailed();
     }
 
-    /** Closes the connection because it failed. */
-    void giveUp() {
+    /** Closes a connection that failed. */
+    void closeAsFailed() {
         mChannel.ifPresent(Channel::close);
         onClosed();
     }
 
     void replaceSilent() {
-        mWire.counters().silentConnectionReplaced();
+        mTransport.counters().silentConnectionReplaced();
         close();
     }
 
     /**
-     * Asks for a sign of life if nothing was heard for a while since something was sent.
+     * Sends a {@code Hello} as liveness check if nothing was received since the last write for
+     * {@code silentMillis}; replaces the connection if the check got no response.
      *
-     * <p>One-way messages get no answer, so a connection that went silent would swallow each
-     * heartbeat for good while this host looks dead to the other. A Hello that gets no Hello back
-     * tells, and the next connection works.
+     * <p>One-way messages take no response, so a silent connection would lose every heartbeat
+     * without notice, and the other end would consider this host dead. An unanswered {@code Hello}
+     * reveals it, and a new connection works.
      */
-    void checkSilence(long silentMillis) {
-        if (mSentMillis < mHeardMillis || mClock.millis() - mHeardMillis < silentMillis) {
+    void checkLiveness(long silentMillis) {
+        if (mLastSentMillis < mLastReceivedMillis
+                || mClock.millis() - mLastReceivedMillis < silentMillis) {
             return;
         }
-        if (mSignAsked) {
+        if (mLivenessCheckSent) {
             replaceSilent();
             return;
         }
-        mSignAsked = true;
+        mLivenessCheckSent = true;
         Hello hello = new Hello(mSelf.get());
-        mWire.writeNow(channel(), new Frame(OutgoingConnection.HELLO_CORRELATION, hello));
+        mTransport.writeNow(channel(), new Frame(OutgoingConnection.HELLO_CORRELATION, hello));
     }
 
     private void onHello(ChannelHandlerContext context, Hello hello) {
-        // Failure: a host was replaced and its address given to another, which would take messages
-        // that are not meant for it. Nothing is written before its Hello is seen.
+        // If a host was replaced and its address reassigned, another host would receive messages
+        // that are not meant for it. So nothing is written before the Hello has been checked.
         if (!hello.sender().incarnation().host().equals(mTarget.incarnation().host())) {
-            mWire.counters().frameRejected(FrameError.BAD_HELLO);
+            mTransport.counters().frameRejected(FrameError.BAD_HELLO);
             context.close();
         } else if (!mReady) {
             mReady = true;
-            mOwner.onReady(this);
+            mListener.onReady(this);
         }
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
@@ -20,27 +20,27 @@
 import org.cyclamenpaddle.peer.codec.FrameError;
 
 /**
- * All that goes to one host: its queue, its one connection and the asks that wait.
+ * Sends messages to one host: holds its queue, its single connection and its pending requests.
  *
- * <p>Any thread queues; all else runs on the one event loop given, and so needs no lock.
+ * <p>Any thread may enqueue; all else is confined to one event loop and needs no lock.
  */
-final class OutgoingPeer implements OutgoingLink.Owner {
+final class OutgoingPeer implements OutgoingLink.Listener {
 
     private final HostId mHost;
     private final EventLoop mLoop;
     private final Supplier<HostRecord> mSelf;
     private final Dialer mDialer;
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final PeerSettings mSettings;
     private final Clock mClock;
     private final OutgoingQueue mQueue;
-    private final PendingAsks mAsks = new PendingAsks();
-    private final AtomicBoolean mDrainPlanned = new AtomicBoolean();
+    private final PendingRequests mPendingRequests = new PendingRequests();
+    private final AtomicBoolean mDrainScheduled = new AtomicBoolean();
     private final Backoff mBackoff;
 
     private volatile HostRecord mTarget;
     private Optional<OutgoingLink> mLink = Optional.empty();
-    private boolean mReconnectPlanned;
+    private boolean mReconnectScheduled;
     private boolean mClosed;
 
     OutgoingPeer(
@@ -48,7 +48,7 @@
             EventLoop loop,
             Supplier<HostRecord> self,
             Dialer dialer,
-            Wire wire,
+            FrameTransport transport,
             PeerSettings settings,
             Clock clock) {
         mHost = target.incarnation().host();
@@ -56,7 +56,7 @@
         mLoop = loop;
         mSelf = self;
         mDialer = dialer;
-        mWire = wire;
+        mTransport = transport;
         mSettings = settings;
         mClock = clock;
         mQueue = new OutgoingQueue(settings.maxQueuedFrames());
@@ -68,43 +68,44 @@
         enqueue(Frame.ONE_WAY, message);
     }
 
-    CompletableFuture<Either<PeerError, PeerMessage>> ask(
+    CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, long correlation, PeerMessage message, long timeoutMillis) {
         mTarget = to;
-        CompletableFuture<Either<PeerError, PeerMessage>> answer = mAsks.add(correlation);
-        enqueue(correlation, message).ifPresent(error -> mAsks.fail(correlation, error));
-        onLoop(
+        CompletableFuture<Either<PeerError, PeerMessage>> response =
+                mPendingRequests.add(correlation);
+        enqueue(correlation, message).ifPresent(error -> mPendingRequests.fail(correlation, error));
+        executeOnLoop(
                 () ->
                         mLoop.schedule(
                                 () -> onTimeout(correlation),
                                 timeoutMillis,
                                 TimeUnit.MILLISECONDS));
-        return answer;
+        return response;
     }
 
     void close() {
-        onLoop(
+        executeOnLoop(
                 () -> {
                     mClosed = true;
                     mLink.ifPresent(OutgoingLink::close);
-                    mAsks.closed();
+                    mPendingRequests.failAllAsClosed();
                 });
     }
 
     @Override
     public void onReady(OutgoingLink link) {
-        planCheck(link);
+        scheduleCheck(link);
         drain();
     }
 
     @Override
-    public void onProven() {
+    public void onEstablished() {
         mBackoff.succeeded();
     }
 
     @Override
-    public void onAnswer(long correlation, PeerMessage answer) {
-        mAsks.answer(correlation, answer);
+    public void onResponse(long correlation, PeerMessage response) {
+        mPendingRequests.completeWithResponse(correlation, response);
     }
 
     @Override
@@ -113,51 +114,53 @@
     }
 
     @Override
-    public void onLost(OutgoingLink link, boolean failed) {
+    public void onConnectionClosed(OutgoingLink link, boolean failed) {
         if (mLink.filter(link::equals).isEmpty()) {
             return;
         }
         mLink = Optional.empty();
-        mAsks.connectionLost();
+        mPendingRequests.failWritten();
         if (failed) {
             mBackoff.failed(mClock.millis());
         }
         if (!link.ready()) {
-            mAsks.unreachable();
+            mPendingRequests.failUnwritten();
         }
         drain();
     }
 
     private Optional<PeerError> enqueue(long correlation, PeerMessage message) {
-        Either<FrameError, byte[]> bytes = mWire.codec().encode(new Frame(correlation, message));
+        Either<FrameError, byte[]> bytes =
+                mTransport.codec().encode(new Frame(correlation, message));
         if (bytes.isLeft()) {
-            mWire.counters().frameDropped(PeerCounters.DropReason.TOO_LONG);
+            mTransport.counters().frameDropped(PeerCounters.DropReason.TOO_LONG);
             return Optional.of(PeerError.TOO_LONG);
         }
         OutgoingQueue.Entry entry =
                 new OutgoingQueue.Entry(
                         correlation, message instanceof Heartbeat, mClock.millis(), bytes.get());
         List<OutgoingQueue.Entry> dropped = mQueue.offer(entry);
-        dropped.forEach(one -> mWire.counters().frameDropped(PeerCounters.DropReason.QUEUE_FULL));
-        planDrain();
+        dropped.forEach(
+                one -> mTransport.counters().frameDropped(PeerCounters.DropReason.QUEUE_FULL));
+        scheduleDrain();
         return dropped.contains(entry) ? Optional.of(PeerError.QUEUE_FULL) : Optional.empty();
     }
 
-    private void planDrain() {
-        if (mDrainPlanned.compareAndSet(false, true)) {
-            onLoop(
+    private void scheduleDrain() {
+        if (mDrainScheduled.compareAndSet(false, true)) {
+            executeOnLoop(
                     () -> {
-                        mDrainPlanned.set(false);
+                        mDrainScheduled.set(false);
                         drain();
                     });
         }
     }
 
-    private void onLoop(Runnable task) {
+    private void executeOnLoop(Runnable task) {
         try {
             mLoop.execute(task);
         } catch (RejectedExecutionException networkClosed) {
-            mAsks.closed();
+            mPendingRequests.failAllAsClosed();
         }
     }
 
@@ -166,7 +169,7 @@
         if (mClosed || mQueue.isEmpty()) {
             return;
         }
-        mLink.filter(link -> !link.leadsTo(mTarget)).ifPresent(OutgoingLink::close);
+        mLink.filter(link -> !link.connectsTo(mTarget)).ifPresent(OutgoingLink::close);
         if (mLink.isEmpty()) {
             connect();
             return;
@@ -189,36 +192,38 @@
     }
 
     private void write(OutgoingLink link, OutgoingQueue.Entry entry) {
-        boolean ask = entry.correlation() != Frame.ONE_WAY;
-        if (ask && !mAsks.written(entry.correlation(), mClock.millis())) {
+        boolean request = entry.correlation() != Frame.ONE_WAY;
+        if (request && !mPendingRequests.markWritten(entry.correlation(), mClock.millis())) {
             return;
         }
         link.write(entry.bytes());
     }
 
     /**
-     * Messages carry durations from now. One that waited long for a connection would promise room,
-     * or count strikes, from a moment that is long past at the receiver; so it is dropped.
+     * Drops frames that waited too long for a connection.
+     *
+     * <p>Messages carry durations relative to when they were encoded. After a long wait, the
+     * receiver would apply a reservation or a strike to the wrong time.
      */
     private void expire() {
         int expired = mQueue.removeBefore(mClock.millis() - mSettings.maxQueuedMillis());
         for (int i = 0; i < expired; i++) {
-            mWire.counters().frameDropped(PeerCounters.DropReason.EXPIRED);
+            mTransport.counters().frameDropped(PeerCounters.DropReason.EXPIRED);
         }
     }
 
     private void connect() {
         long waitMillis = mBackoff.waitMillis(mClock.millis());
         if (waitMillis > 0) {
-            mAsks.unreachable();
-            planReconnect(waitMillis);
+            mPendingRequests.failUnwritten();
+            scheduleReconnect(waitMillis);
             return;
         }
-        OutgoingLink link = new OutgoingLink(this, mTarget, mWire, mSelf, mClock);
+        OutgoingLink link = new OutgoingLink(this, mTarget, mTransport, mSelf, mClock);
         mLink = Optional.of(link);
-        ChannelFuture dialed = mDialer.dial(mTarget, mLoop, link);
-        link.dialed(dialed.channel());
-        dialed.addListener(
+        ChannelFuture connect = mDialer.dial(mTarget, mLoop, link);
+        link.dialed(connect.channel());
+        connect.addListener(
                 connected -> {
                     if (!connected.isSuccess()) {
                         link.onClosed();
@@ -227,14 +232,14 @@
         mLoop.schedule(
                 () -> {
                     if (!link.ready()) {
-                        link.giveUp();
+                        link.closeAsFailed();
                     }
                 },
                 mSettings.connectMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void planCheck(OutgoingLink link) {
+    private void scheduleCheck(OutgoingLink link) {
         mLoop.schedule(() -> check(link), mSettings.silentMillis(), TimeUnit.MILLISECONDS);
     }
 
@@ -242,20 +247,20 @@
         if (mLink.filter(link::equals).isEmpty()) {
             return;
         }
-        if (mAsks.isEmpty() && link.idleFor(mSettings.idleMillis())) {
+        if (mPendingRequests.isEmpty() && link.idleFor(mSettings.idleMillis())) {
             link.close();
             return;
         }
-        link.checkSilence(mSettings.silentMillis());
-        planCheck(link);
+        link.checkLiveness(mSettings.silentMillis());
+        scheduleCheck(link);
     }
 
-    private void planReconnect(long waitMillis) {
-        if (!mReconnectPlanned) {
-            mReconnectPlanned = true;
+    private void scheduleReconnect(long waitMillis) {
+        if (!mReconnectScheduled) {
+            mReconnectScheduled = true;
             mLoop.schedule(
                     () -> {
-                        mReconnectPlanned = false;
+                        mReconnectScheduled = false;
                         drain();
                     },
                     waitMillis,
@@ -264,10 +269,10 @@
     }
 
     private void onTimeout(long correlation) {
-        OptionalLong writtenMillis = mAsks.timeOut(correlation);
-        // Failure: something between the ends lost track of the connection, and every ask on it
-        // times out for good. If nothing at all came since the ask, the connection is given up,
-        // and the next ask opens a new one, which works; if anything came, only the ask was slow.
+        OptionalLong writtenMillis = mPendingRequests.timeOut(correlation);
+        // If a middlebox lost the state of the connection, every request on it times out. If
+        // nothing was received since the request was written, the connection is replaced, and the
+        // next request uses a new one; if anything was received, only this request was slow.
         mLink.filter(OutgoingLink::ready)
                 .filter(link -> writtenMillis.isPresent())
                 .filter(link -> link.silentSince(writtenMillis.getAsLong()))
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingQueue.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingQueue.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import org.cyclamenpaddle.peer.codec.FrameCodec;
 
-/** Bounded queue of encoded frames to one host; thread-safe, never blocks for long. */
+/** Bounded queue of the encoded frames to one host. Thread-safe; holds its lock only briefly. */
 final class OutgoingQueue {
 
-    /** Two frames of the longest kind, and far more of the usual ones. */
+    /** Fits two frames of maximum length, or for many of the usual ones. */
     private static final int MAX_BYTES = 2 * FrameCodec.MAX_FRAME_BYTES;
 
     private final int mMaxFrames;
@@ -19,24 +19,25 @@
     private int mBytes;
 
     /**
-     * One frame.
+     * A queued frame.
      *
      * @param correlation its correlation number
-     * @param heartbeat whether it is the first to go when the queue is full
-     * @param sinceMillis when it was queued, on the network's clock
+     * @param heartbeat whether it is a heartbeat, which is dropped first when the queue is full
+     * @param queuedMillis when it was queued, in milliseconds of the network's clock
      * @param bytes the encoded frame
      */
-    record Entry(long correlation, boolean heartbeat, long sinceMillis, byte[] bytes) {}
+    record Entry(long correlation, boolean heartbeat, long queuedMillis, byte[] bytes) {}
 
     OutgoingQueue(int maxFrames) {
         mMaxFrames = maxFrames;
     }
 
     /**
-     * Adds a frame; while the queue is full, the oldest heartbeats go, or else the new frame.
+     * Adds a frame. While the queue is full, drops the oldest heartbeat, or the new frame if no
+     * heartbeat is queued.
      *
-     * <p>A later heartbeat says all that an older one does, while each other message says something
-     * of its own.
+     * <p>A heartbeat supersedes the earlier ones, while no other message can be replaced by a later
+     * one.
      *
      * @return the entries that were dropped
      */
@@ -59,10 +60,10 @@
         return first;
     }
 
-    /** Removes the entries queued before a moment and returns how many there were. */
+    /** Removes the entries that were queued before {@code millis} and returns their number. */
     synchronized int removeBefore(long millis) {
         int removed = 0;
-        while (!mEntries.isEmpty() && mEntries.peekFirst().sinceMillis() < millis) {
+        while (!mEntries.isEmpty() && mEntries.peekFirst().queuedMillis() < millis) {
             poll();
             removed++;
         }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerCounters.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerCounters.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.peer.codec.FrameError;
 
-/** Hears what is to be counted; called on any thread, must not block. */
+/** Receives the counted events of the network; called on any thread, must not block. */
 public interface PeerCounters {
 
     /** Counts nothing. */
@@ -26,28 +26,28 @@
 
     /** Why an outgoing frame was dropped. */
     enum DropReason {
-        /** The queue was full; heartbeats go first. */
+        /** The queue was full; heartbeats are dropped first. */
         QUEUE_FULL,
-        /** It waited so long for a connection that the durations in it were no longer true. */
+        /** It waited so long for a connection that the durations in it were out of date. */
         EXPIRED,
-        /** It was longer than a frame may be. */
+        /** It exceeded the maximum frame length. */
         TOO_LONG,
-        /** An answer could not be written since its asker did not read. */
+        /** A response could not be written because the requester did not read. */
         ASKER_STALLED
     }
 
-    /** A frame came in, of {@code bytes} with its length prefix. */
+    /** Called for a received frame of {@code bytes}, with its length prefix. */
     void frameReceived(int bytes);
 
-    /** A frame went out, of {@code bytes} with its length prefix. */
+    /** Called for a sent frame of {@code bytes}, with its length prefix. */
     void frameSent(int bytes);
 
-    /** A frame was refused, and its connection closed. */
+    /** Called for a received frame that was rejected and its connection closed. */
     void frameRejected(FrameError error);
 
-    /** An outgoing frame was dropped. */
+    /** Called for an outgoing frame that was dropped. */
     void frameDropped(DropReason reason);
 
-    /** A connection on which nothing came any more was closed, to be replaced. */
+    /** Called for a silent connection that was closed to be replaced. */
     void silentConnectionReplaced();
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerError.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerError.java
@@ -1,17 +1,17 @@
 package org.cyclamenpaddle.peer.net;
 
-/** Why an ask got no answer. */
+/** Why a request got no response. */
 public enum PeerError {
-    /** No connection to the host; the ask never left. */
+    /** No connection to the host; the request was not sent. */
     UNREACHABLE,
-    /** The connection broke after the ask was written; it may have been heard. */
+    /** The connection was lost after the request was written; it may have been received. */
     CONNECTION_LOST,
-    /** No answer came in time; the ask may have been heard. */
+    /** No response came in time; the request may have been received. */
     TIMED_OUT,
-    /** The outgoing queue was full; the ask never left. */
+    /** The outgoing queue was full; the request was not sent. */
     QUEUE_FULL,
-    /** The message does not fit into a frame. */
+    /** The message exceeds the maximum frame length. */
     TOO_LONG,
-    /** This network was closed. */
+    /** This network has been closed. */
     CLOSED
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerListener.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerListener.java
@@ -6,20 +6,21 @@
 import org.cyclamenpaddle.core.message.PeerMessage;
 
 /**
- * Takes the messages of other hosts. Called on I/O threads; must not block.
+ * Receives the messages of other hosts. Called on I/O threads; must not block.
  *
- * <p>An exception ends the connection, or leaves the ask without an answer. A broken invariant goes
- * to the thread's uncaught exception handler besides.
+ * <p>A thrown exception closes the connection; a future that completes exceptionally leaves the
+ * request without a response. A broken invariant is also passed to the thread's uncaught exception
+ * handler.
  */
 @FunctionalInterface
 public interface PeerListener {
 
     /**
-     * Takes a message.
+     * Handles a message.
      *
-     * @param from who sent it, as said in the {@code Hello} of the connection
+     * @param from the sender, as given in the {@code Hello} of the connection
      * @param message the message; never a {@code Hello}
-     * @return the answer, now or later; empty for a message that takes none
+     * @return completes with the response; empty for a message that takes none
      */
     CompletableFuture<Optional<PeerMessage>> onMessage(HostRecord from, PeerMessage message);
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerNetwork.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerNetwork.java
@@ -28,10 +28,12 @@
 import org.cyclamenpaddle.core.time.Clock;
 
 /**
- * Talks to other hosts over TCP: one connection each way between two hosts.
+ * Exchanges messages with other hosts over TCP, with one connection in each direction between two
+ * hosts.
  *
- * <p>A few I/O threads serve all connections, since at 410 hosts a thread for each would cost more
- * memory than control may take. No method but {@link #start()} and {@link #close()} blocks.
+ * <p>A few I/O threads serve all connections, since at 410 hosts one thread per connection would
+ * exceed the memory that the control plane may use. No method but {@link #start()} and {@link
+ * #close()} blocks.
  */
 public final class PeerNetwork implements AutoCloseable {
 
@@ -41,23 +43,23 @@
     private final PeerListener mListener;
     private final PeerSettings mSettings;
     private final Clock mClock;
-    private final Wire mWire;
+    private final FrameTransport mTransport;
     private final Dialer mDialer;
-    private final EventLoopGroup mLoops;
+    private final EventLoopGroup mEventLoops;
     private final Map<HostId, OutgoingPeer> mPeers = new ConcurrentHashMap<>();
     private final AtomicLong mCorrelation = new AtomicLong(OutgoingConnection.HELLO_CORRELATION);
-    private final AtomicInteger mIncoming = new AtomicInteger();
+    private final AtomicInteger mIncomingCount = new AtomicInteger();
     private volatile Optional<Channel> mServer = Optional.empty();
     private volatile boolean mClosed;
 
     /**
-     * Creates it; nothing is bound yet.
+     * Creates a network; no port is bound yet.
      *
-     * @param self this host's record, said in each {@code Hello}
-     * @param listener takes messages
-     * @param settings bounds and times
-     * @param clock measures silence and waits
-     * @param counters hears what is to be counted
+     * @param self this host's record, sent in each {@code Hello}
+     * @param listener handles received messages
+     * @param settings limits and timeouts
+     * @param clock measures silence, idle time and delays
+     * @param counters counts frames and connections
      */
     public PeerNetwork(
             Supplier<HostRecord> self,
@@ -69,9 +71,9 @@
         mListener = listener;
         mSettings = settings;
         mClock = clock;
-        mWire = new Wire(counters);
-        mDialer = new Dialer(mWire, self, settings);
-        mLoops =
+        mTransport = new FrameTransport(counters);
+        mDialer = new Dialer(mTransport, self, settings);
+        mEventLoops =
                 new MultiThreadIoEventLoopGroup(
                         settings.ioThreads(),
                         new DefaultThreadFactory("peer-io", true),
@@ -81,16 +83,16 @@
     /**
      * Binds this host's peer port.
      *
-     * @param address IP number to bind
+     * @param address IP address to bind
      * @param port TCP port; 0 for any
-     * @return the bound port, or why it could not be bound
+     * @return the bound port, or the failure
      */
     public Try<Integer> start(String address, int port) {
         return Try.of(
                 () -> {
                     Channel channel =
                             new ServerBootstrap()
-                                    .group(mLoops)
+                                    .group(mEventLoops)
                                     .channel(NioServerSocketChannel.class)
                                     .option(ChannelOption.SO_REUSEADDR, true)
                                     .childOption(ChannelOption.TCP_NODELAY, true)
@@ -104,7 +106,7 @@
     }
 
     /**
-     * Sends a message that takes no answer; it is dropped if the host can't be reached in time.
+     * Sends a message that takes no response; it is dropped if the host can't be reached in time.
      *
      * @param to the host
      * @param message the message
@@ -116,65 +118,65 @@
     }
 
     /**
-     * Sends a message and waits for its answer.
+     * Sends a request and returns its response.
      *
      * @param to the host
-     * @param message the ask
+     * @param message the request
      * @param timeoutMillis longest wait, in milliseconds
-     * @return completes with the answer or the error; never exceptionally
+     * @return completes with the response or the error; never exceptionally
      */
     public CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis) {
         if (mClosed) {
             return CompletableFuture.completedFuture(Either.left(PeerError.CLOSED));
         }
-        return peer(to).ask(to, mCorrelation.incrementAndGet(), message, timeoutMillis);
+        return peer(to).request(to, mCorrelation.incrementAndGet(), message, timeoutMillis);
     }
 
     /**
-     * Tries whether a host answers on a new connection, whatever becomes of the open ones.
+     * Probes whether a host responds on a new connection, independently of the open ones.
      *
-     * @param target the host; an answer by another incarnation of it counts as none
+     * @param target the host; a response of another incarnation of it counts as none
      * @param timeoutMillis longest wait, in milliseconds
-     * @return completes with whether it answered; never exceptionally
+     * @return completes with whether it responded; never exceptionally
      */
     public CompletableFuture<Boolean> probe(HostRecord target, long timeoutMillis) {
         return handshake(target.address(), target.peerPort(), timeoutMillis)
                 .thenApply(
-                        sender ->
-                                sender.map(HostRecord::incarnation)
+                        hello ->
+                                hello.map(HostRecord::incarnation)
                                         .filter(target.incarnation()::equals)
                                         .isPresent());
     }
 
     /**
-     * Asks who answers at an address, by a new connection.
+     * Identifies the host at an address by exchanging a {@code Hello} over a new connection.
      *
-     * @param address IP number
+     * @param address IP address
      * @param port peer port
      * @param timeoutMillis longest wait, in milliseconds
-     * @return completes with the host that answered, or empty; never exceptionally
+     * @return completes with the host that responded, or empty; never exceptionally
      */
     public CompletableFuture<Optional<HostRecord>> handshake(
             String address, int port, long timeoutMillis) {
         if (mClosed) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        CompletableFuture<Optional<HostRecord>> answered = new CompletableFuture<>();
+        CompletableFuture<Optional<HostRecord>> responder = new CompletableFuture<>();
         OutgoingConnection.Events events =
                 (context, frame) ->
-                        answered.complete(
+                        responder.complete(
                                 frame.message() instanceof Hello hello
                                         ? Optional.of(hello.sender())
                                         : Optional.empty());
-        Channel channel = mDialer.dial(address, port, mLoops.next(), events).channel();
-        answered.completeOnTimeout(Optional.empty(), timeoutMillis, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> answered.complete(Optional.empty()));
-        answered.thenRun(channel::close);
-        return answered;
+        Channel channel = mDialer.dial(address, port, mEventLoops.next(), events).channel();
+        responder.completeOnTimeout(Optional.empty(), timeoutMillis, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> responder.complete(Optional.empty()));
+        responder.thenRun(channel::close);
+        return responder;
     }
 
-    /** Forgets a host that is gone for good: drops its queue and connection. */
+    /** Removes a host that will not return: drops its queue and closes its connection. */
     public void removeHost(HostId host) {
         Optional.ofNullable(mPeers.remove(host)).ifPresent(OutgoingPeer::close);
     }
@@ -184,7 +186,7 @@
         mClosed = true;
         mServer.ifPresent(server -> server.close().awaitUninterruptibly());
         mPeers.values().forEach(OutgoingPeer::close);
-        mLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        mEventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
     private OutgoingPeer peer(HostRecord to) {
@@ -192,18 +194,24 @@
                 to.incarnation().host(),
                 host ->
                         new OutgoingPeer(
-                                to, mLoops.next(), mSelf, mDialer, mWire, mSettings, mClock));
+                                to,
+                                mEventLoops.next(),
+                                mSelf,
+                                mDialer,
+                                mTransport,
+                                mSettings,
+                                mClock));
     }
 
     private final class Acceptor extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
-            if (mIncoming.incrementAndGet() > mSettings.maxIncoming()) {
-                mIncoming.decrementAndGet();
+            if (mIncomingCount.incrementAndGet() > mSettings.maxIncoming()) {
+                mIncomingCount.decrementAndGet();
                 channel.close();
                 return;
             }
-            channel.closeFuture().addListener(closed -> mIncoming.decrementAndGet());
+            channel.closeFuture().addListener(closed -> mIncomingCount.decrementAndGet());
             channel.pipeline()
                     .addLast(
                             new IdleStateHandler(
@@ -211,8 +219,8 @@
                                     0,
                                     0,
                                     TimeUnit.MILLISECONDS),
-                            mWire.decoder(),
-                            new IncomingConnection(mWire, mSelf, mListener));
+                            mTransport.newDecoder(),
+                            new IncomingConnection(mTransport, mSelf, mListener));
         }
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerSettings.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerSettings.java
@@ -3,16 +3,16 @@
 /**
  * Settings of the connections between hosts; times in milliseconds.
  *
- * @param ioThreads threads that serve all connections
- * @param connectMillis longest wait for a connection with its {@code Hello}
- * @param minBackoffMillis wait after a first failed connect
- * @param maxBackoffMillis longest wait after failed connects, each doubling the one before
- * @param silentMillis when nothing came on an outgoing connection for so long, the other end is
- *     asked for a sign of life, and the connection replaced if none comes for as long again
- * @param idleMillis when nothing was sent on an outgoing connection for so long, it is closed
- * @param maxQueuedFrames frames to one host that wait for a connection at most
- * @param maxQueuedMillis longest time that a frame waits for a connection
- * @param maxIncoming incoming connections at most
+ * @param ioThreads I/O threads that serve all connections
+ * @param connectMillis timeout of a connection attempt, including its {@code Hello}
+ * @param minBackoffMillis delay after a first failed connection attempt
+ * @param maxBackoffMillis upper bound of the delay, which doubles with each failed attempt
+ * @param silentMillis after this time without a received frame, a liveness check is sent on an
+ *     outgoing connection, which is replaced if no frame is received within the same time again
+ * @param idleMillis an outgoing connection on which nothing was sent for this time is closed
+ * @param maxQueuedFrames maximum number of frames to one host that wait for a connection
+ * @param maxQueuedMillis maximum time that a frame waits for a connection
+ * @param maxIncoming maximum number of incoming connections
  */
 public record PeerSettings(
         int ioThreads,
@@ -25,7 +25,7 @@
         long maxQueuedMillis,
         int maxIncoming) {
 
-    /** Settings for a fleet of some hundred hosts. */
+    /** Default settings, for a fleet of some hundred hosts. */
     public static final PeerSettings DEFAULT =
             new PeerSettings(2, 500, 50, 2_000, 2_000, 30_000, 1_024, 1_000, 2_048);
 
@@ -42,7 +42,7 @@
         }
         if (minBackoffMillis < 1 || maxBackoffMillis < minBackoffMillis) {
             throw new IllegalArgumentException(
-                    "backoff of %d to %d ms is no range"
+                    "backoff range of %d to %d ms must be ascending and above 0"
                             .formatted(minBackoffMillis, maxBackoffMillis));
         }
     }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/package-info.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/package-info.java
@@ -1,2 +1,2 @@
-/** TCP connections between entry hosts, with asks, one-way messages and probes. */
+/** TCP connections between entry hosts, with requests, one-way messages and probes. */
 package org.cyclamenpaddle.peer.net;
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/package-info.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/package-info.java
@@ -1,2 +1,2 @@
-/** TCP frames with MessagePack between entry hosts. */
+/** Peer protocol between entry hosts: MessagePack frames over TCP. */
 package org.cyclamenpaddle.peer;
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
@@ -29,7 +29,7 @@
     private final FrameCodec mCodec = new FrameCodec();
 
     @Test
-    public void everyMessageSurvivesItsFrame() {
+    public void everyMessageRoundTrips() {
         for (PeerMessage message : Samples.ALL) {
             Frame frame = new Frame(1L << 40, message);
             assertEquals(mCodec.decode(encoded(frame)), Either.right(frame));
@@ -41,66 +41,81 @@
     }
 
     @Test
-    public void everyCutAndEveryLeftoverIsRefused() {
+    public void truncatedFramesAndTrailingBytesAreRejected() {
         for (PeerMessage message : Samples.ALL) {
-            byte[] whole = encoded(new Frame(0, message));
-            for (int length = 0; length < whole.length; length++) {
-                assertRefused(Arrays.copyOf(whole, length), FrameError.CUT_OFF);
+            byte[] complete = encoded(new Frame(0, message));
+            for (int length = 0; length < complete.length; length++) {
+                assertRejected(Arrays.copyOf(complete, length), FrameError.CUT_OFF);
             }
-            assertRefused(Arrays.copyOf(whole, whole.length + 1), FrameError.BAD_FIELDS);
+            assertRejected(Arrays.copyOf(complete, complete.length + 1), FrameError.BAD_FIELDS);
         }
     }
 
     @Test
-    public void otherVersionAndTypeAreRefused() throws IOException {
+    public void unknownVersionAndTypeAreRejected() throws IOException {
         byte[] bytes = encoded(new Frame(0, Samples.ALL.get(0)));
         bytes[0] = FrameCodec.VERSION + 1;
-        assertRefused(bytes, FrameError.WRONG_VERSION);
-        assertRefused(packed(packer -> packer.packInt(99).packLong(0)), FrameError.UNKNOWN_TYPE);
+        assertRejected(bytes, FrameError.WRONG_VERSION);
+        assertRejected(packed(packer -> packer.packInt(99).packLong(0)), FrameError.UNKNOWN_TYPE);
     }
 
     @Test
-    public void fieldsOutOfBoundsAreRefusedWithoutTakingMemory() throws IOException {
-        int heldAsks = MessageType.GRANT_REGISTER.code();
-        int claim = MessageType.CLAIM_REQUEST.code();
-        int state = MessageType.CLAIM_RESPONSE.code();
-        List<byte[]> wrong =
+    public void outOfBoundsFieldsAreRejectedWithoutAllocation() throws IOException {
+        int grantRegister = MessageType.GRANT_REGISTER.code();
+        int claimRequest = MessageType.CLAIM_REQUEST.code();
+        int claimResponse = MessageType.CLAIM_RESPONSE.code();
+        List<byte[]> invalid =
                 List.of(
-                        packed(p -> p.packInt(heldAsks).packLong(0).packArrayHeader(1 << 30)),
-                        packed(p -> p.packInt(heldAsks).packLong(0).packString("list")),
-                        packed(p -> p.packInt(claim).packLong(0).packRawStringHeader(1 << 30)),
-                        packed(p -> p.packInt(claim).packLong(0).packLong(5).packString("key")),
-                        packed(p -> p.packInt(claim).packLong(0).packString("a/b").packString("k")),
-                        packed(p -> p.packInt(claim).packString("0")),
-                        packed(p -> p.packInt(state).packLong(0).packInt(99).packNil()),
-                        packed(p -> p.packInt(state).packLong(0).packInt(-1).packNil()),
+                        packed(p -> p.packInt(grantRegister).packLong(0).packArrayHeader(1 << 30)),
+                        packed(p -> p.packInt(grantRegister).packLong(0).packString("list")),
+                        packed(
+                                p ->
+                                        p.packInt(claimRequest)
+                                                .packLong(0)
+                                                .packRawStringHeader(1 << 30)),
+                        packed(
+                                p ->
+                                        p.packInt(claimRequest)
+                                                .packLong(0)
+                                                .packLong(5)
+                                                .packString("key")),
+                        packed(
+                                p ->
+                                        p.packInt(claimRequest)
+                                                .packLong(0)
+                                                .packString("a/b")
+                                                .packString("k")),
+                        packed(p -> p.packInt(claimRequest).packString("0")),
+                        packed(p -> p.packInt(claimResponse).packLong(0).packInt(99).packNil()),
+                        packed(p -> p.packInt(claimResponse).packLong(0).packInt(-1).packNil()),
                         packed(p -> p.packString("type")));
-        wrong.forEach(bytes -> assertRefused(bytes, FrameError.BAD_FIELDS));
+        invalid.forEach(bytes -> assertRejected(bytes, FrameError.BAD_FIELDS));
     }
 
     @Test
     public void messageLongerThanFrameIsNotEncoded() {
         PeerMessage message = configuration(1, FrameCodec.MAX_FRAME_BYTES);
         assertEquals(mCodec.encode(new Frame(0, message)).getLeft(), FrameError.TOO_LONG);
-        assertRefused(new byte[FrameCodec.MAX_FRAME_BYTES + 1], FrameError.TOO_LONG);
+        assertRejected(new byte[FrameCodec.MAX_FRAME_BYTES + 1], FrameError.TOO_LONG);
     }
 
     @Test
     public void configurationThatDoesNotFitIsSentInParts() {
-        // A host that starts while the platform is away would never serve: all objects together
-        // don't fit into a frame. Each answer brings the first of those that the asker lacks.
-        ConfigurationResponse whole = configuration(3_000, 1_000);
-        List<ConfigurationObject> lacking = whole.objects();
-        int asks = 0;
-        while (!lacking.isEmpty()) {
-            Frame part = new Frame(1, new ConfigurationResponse(lacking));
+        // A host that starts while the platform is unreachable would never serve if a configuration
+        // that exceeds a frame were not sent. Each response must carry the first of the objects
+        // that the requester lacks.
+        ConfigurationResponse complete = configuration(3_000, 1_000);
+        List<ConfigurationObject> missing = complete.objects();
+        int responses = 0;
+        while (!missing.isEmpty()) {
+            Frame part = new Frame(1, new ConfigurationResponse(missing));
             PeerMessage read = mCodec.decode(encoded(part)).get().message();
-            int brought = ((ConfigurationResponse) read).objects().size();
-            assertEquals(((ConfigurationResponse) read).objects(), lacking.subList(0, brought));
-            lacking = lacking.subList(brought, lacking.size());
-            asks++;
+            int count = ((ConfigurationResponse) read).objects().size();
+            assertEquals(((ConfigurationResponse) read).objects(), missing.subList(0, count));
+            missing = missing.subList(count, missing.size());
+            responses++;
         }
-        assertEquals(asks, 4);
+        assertEquals(responses, 4);
     }
 
     private static ConfigurationResponse configuration(int objects, int documentBytes) {
@@ -113,27 +128,28 @@
     }
 
     @Test
-    public void mutatedFramesNeverThrowAndWhatIsReadIsSound() {
-        // A host would lose its I/O thread, or act on garbage. Any bytes may come from a peer gone
-        // wrong; each must be refused as a value, or be a message that itself encodes and decodes.
+    public void mutatedFramesNeverThrowAndDecodedMessagesRoundTrip() {
+        // A faulty peer may send any bytes; an exception could stop an I/O thread, and a corrupt
+        // message could be acted upon. Each mutant must give an error value or a message that
+        // round-trips.
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < MUTANTS; i++) {
             PeerMessage message = Samples.ALL.get(random.nextInt(Samples.ALL.size()));
             byte[] bytes = Mutations.mutate(encoded(new Frame(i, message)), random);
             Either<FrameError, Frame> frame = mCodec.decode(bytes);
-            refused += frame.isLeft() ? 1 : 0;
+            rejected += frame.isLeft() ? 1 : 0;
             frame.forEach(read -> assertEquals(mCodec.decode(encoded(read)), Either.right(read)));
         }
-        assertTrue(refused > MUTANTS / 2, refused + " refused");
-        assertTrue(refused < MUTANTS, "no mutant was read, so soundness was not tried");
+        assertTrue(rejected > MUTANTS / 2, rejected + " rejected");
+        assertTrue(rejected < MUTANTS, "no mutant was decoded, so the round trip was not tested");
     }
 
     private byte[] encoded(Frame frame) {
         return mCodec.encode(frame).get();
     }
 
-    private void assertRefused(byte[] bytes, FrameError error) {
+    private void assertRejected(byte[] bytes, FrameError error) {
         assertEquals(mCodec.decode(bytes).getLeft(), error);
     }
 
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/Samples.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/Samples.java
@@ -32,17 +32,22 @@
 import org.cyclamenpaddle.core.message.ProbeResponse;
 import org.cyclamenpaddle.core.message.StrikeNotice;
 
-/** At least one message of each type. */
+/** Sample messages, at least one of each type. */
 final class Samples {
 
-    private static final Incarnation LIFE =
+    private static final Incarnation INCARNATION =
             new Incarnation(new HostId("ahm-1"), 1_764_720_000_000L);
     private static final HostRecord HOST =
             new HostRecord(
-                    LIFE, new FailureDomain("ahm"), "10.20.30.40", 7_400, 8_080, HostState.SUSPECT);
-    private static final AttemptId ATTEMPT = AttemptId.of(LIFE, 7);
+                    INCARNATION,
+                    new FailureDomain("ahm"),
+                    "10.20.30.40",
+                    7_400,
+                    8_080,
+                    HostState.SUSPECT);
+    private static final AttemptId ATTEMPT = AttemptId.of(INCARNATION, 7);
     private static final BackendId BACKEND = new BackendId("runner-ahm-12");
-    private static final GrantRequest ASK =
+    private static final GrantRequest GRANT_REQUEST =
             new GrantRequest(
                     ATTEMPT, BACKEND, BackendRole.DECODE, 40, 3, 1L << 33, 120, 580, 4_400);
 
@@ -57,11 +62,11 @@
                             List.of(HOST, HOST.withState(HostState.LEAVING)),
                             List.of(new LedgerSummary(BACKEND, -3, 2, 40, true))),
                     new ProbeRequest(HOST),
-                    new ProbeResponse(LIFE, true),
-                    ASK,
+                    new ProbeResponse(INCARNATION, true),
+                    GRANT_REQUEST,
                     new GrantResponse(ATTEMPT, BACKEND, GrantDecision.TOO_LATE, 10, 20),
                     new GrantRelease(ATTEMPT, BACKEND),
-                    new GrantRegister(List.of(ASK, ASK)),
+                    new GrantRegister(List.of(GRANT_REQUEST, GRANT_REQUEST)),
                     new ConfigurationRequest(
                             Map.of("config/preset/peak", 7L, "config/x", Long.MAX_VALUE)),
                     new ConfigurationResponse(
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
@@ -1,8 +1,8 @@
 package org.cyclamenpaddle.peer.net;
 
-import static org.cyclamenpaddle.peer.net.PeerNetworkTest.claimAsk;
+import static org.cyclamenpaddle.peer.net.PeerNetworkTest.claimRequest;
 import static org.cyclamenpaddle.peer.net.PeerNetworkTest.ran;
-import static org.cyclamenpaddle.peer.net.TestHosts.SILENT;
+import static org.cyclamenpaddle.peer.net.TestHosts.NO_RESPONSE;
 import static org.cyclamenpaddle.peer.net.TestHosts.host;
 import static org.cyclamenpaddle.peer.net.TestHosts.node;
 import static org.testng.Assert.assertEquals;
@@ -28,165 +28,185 @@
 
 public class ConnectionFaultsTest {
 
-    private static final long SHORT_MILLIS = 200;
-    private static final long PATIENCE_MILLIS = 20_000;
+    private static final long SHORT_TIMEOUT_MILLIS = 200;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
-    private static final GrantRelease END =
+    private static final GrantRelease RELEASE =
             new GrantRelease(new AttemptId("a:1:1"), new BackendId("runner-1"));
 
     @Test
-    public void askThatTimesOutOnSilentConnectionGivesItUp() throws Exception {
-        // A caller asks for the fate of its booking, time after time in vain. The connection to the
-        // claimer was lost track of and swallows every ask, while a new one works. The first ask
-        // times out and takes the connection with it; the next is answered.
-        CountingPeers counters = new CountingPeers();
-        PeerListener answering =
+    public void requestTimeoutReplacesSilentConnection() throws Exception {
+        // A connection that a middlebox lost track of swallows every request, while a new one
+        // works. The first request to time out must replace the connection, so that the next one
+        // gets its response.
+        RecordingPeerCounters counters = new RecordingPeerCounters();
+        PeerListener responding =
                 (from, message) ->
                         CompletableFuture.completedFuture(Optional.<PeerMessage>of(ran("yes")));
-        try (Node a = node("a", SILENT, TestHosts.NO_SIGNS, counters);
-                Node b = node("b", answering);
+        try (Node a = node("a", NO_RESPONSE, TestHosts.NO_LIVENESS_CHECKS, counters);
+                Node b = node("b", responding);
                 SilencingRelay relay = new SilencingRelay(b.host().peerPort())) {
             HostRecord target = host("b", relay.port());
             assertEquals(
-                    a.network().request(target, claimAsk("key"), PATIENCE_MILLIS).get(),
+                    a.network().request(target, claimRequest("key"), TIMEOUT_MILLIS).get(),
                     Either.right(ran("yes")));
             relay.silence();
             assertEquals(
-                    a.network().request(target, claimAsk("key"), SHORT_MILLIS).get().getLeft(),
+                    a.network()
+                            .request(target, claimRequest("key"), SHORT_TIMEOUT_MILLIS)
+                            .get()
+                            .getLeft(),
                     PeerError.TIMED_OUT);
             assertEquals(counters.next(), "replaced");
             assertEquals(
-                    a.network().request(target, claimAsk("key"), PATIENCE_MILLIS).get(),
+                    a.network().request(target, claimRequest("key"), TIMEOUT_MILLIS).get(),
                     Either.right(ran("yes")));
         }
     }
 
     @Test
-    public void oneWayMessagesFindTheirWayOutOfSilentConnection() throws Exception {
-        // A host is held for dead though it lives: its heartbeats need no answer, so a silent
-        // connection would swallow them for good. It asks for a sign of life, gets none, and the
-        // heartbeats that follow go over a new connection.
-        CountingPeers counters = new CountingPeers();
+    public void livenessCheckReplacesSilentConnectionOfOneWayMessages() throws Exception {
+        // Heartbeats take no response, so a silent connection would lose them unnoticed, and the
+        // host would be considered dead. The liveness check goes unanswered, and the following
+        // messages must use a new connection.
+        RecordingPeerCounters counters = new RecordingPeerCounters();
         VirtualClock clock = new VirtualClock(0);
-        BlockingQueue<PeerMessage> heard = new LinkedBlockingQueue<>();
-        try (Node a = node("a", SILENT, TestHosts.SIGNS, clock, counters);
-                Node b = node("b", hearing(heard));
+        BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
+        try (Node a = node("a", NO_RESPONSE, TestHosts.LIVENESS_CHECKS, clock, counters);
+                Node b = node("b", recording(received));
                 SilencingRelay relay = new SilencingRelay(b.host().peerPort())) {
             HostRecord target = host("b", relay.port());
-            a.network().send(target, END);
-            assertEquals(heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), END);
+            a.network().send(target, RELEASE);
+            assertEquals(received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), RELEASE);
             relay.silence();
-            a.network().send(target, END);
-            clock.advance(TestHosts.SIGNS.silentMillis());
+            a.network().send(target, RELEASE);
+            clock.advance(TestHosts.LIVENESS_CHECKS.silentMillis());
             assertEquals(counters.next(), "replaced");
-            assertTrue(heard.isEmpty());
-            a.network().send(target, END);
-            assertEquals(heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), END);
+            assertTrue(received.isEmpty());
+            a.network().send(target, RELEASE);
+            assertEquals(received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), RELEASE);
         }
     }
 
     @Test
-    public void lateAnswerReachesNoOtherAsker() throws Exception {
-        // A caller would be told the fate of another's booking. One ask times out on a connection
-        // that is in use, so that it stays open; its answer comes late, while a later ask waits on
-        // the same connection. The number tells them apart.
-        Map<String, CompletableFuture<Optional<PeerMessage>>> answers =
+    public void lateResponseCompletesNoOtherRequest() throws Exception {
+        // A request times out on a connection that stays open because it is in use. Its late
+        // response arrives while a later request is pending on the same connection and must not
+        // complete that one: a caller would see the result of another's booking. The correlation
+        // number distinguishes them.
+        Map<String, CompletableFuture<Optional<PeerMessage>>> responses =
                 Map.of(
                         "late", new CompletableFuture<>(),
                         "quick", CompletableFuture.completedFuture(Optional.of(ran("quick"))),
                         "second", new CompletableFuture<>());
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<String> requested = new LinkedBlockingQueue<>();
         PeerListener listener =
                 (from, message) -> {
-                    asked.add(((ClaimRequest) message).key());
-                    return answers.get(((ClaimRequest) message).key());
+                    requested.add(((ClaimRequest) message).key());
+                    return responses.get(((ClaimRequest) message).key());
                 };
         VirtualClock clock = new VirtualClock(0);
-        try (Node a = node("a", SILENT, TestHosts.NO_SIGNS, clock, PeerCounters.NONE);
+        try (Node a =
+                        node(
+                                "a",
+                                NO_RESPONSE,
+                                TestHosts.NO_LIVENESS_CHECKS,
+                                clock,
+                                PeerCounters.NONE);
                 Node b = node("b", listener)) {
-            CompletableFuture<Either<PeerError, PeerMessage>> late =
-                    a.network().request(b.host(), claimAsk("late"), SHORT_MILLIS);
-            asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            CompletableFuture<Either<PeerError, PeerMessage>> lateResponse =
+                    a.network().request(b.host(), claimRequest("late"), SHORT_TIMEOUT_MILLIS);
+            requested.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             clock.advance(1);
             assertEquals(
-                    a.network().request(b.host(), claimAsk("quick"), PATIENCE_MILLIS).get(),
+                    a.network().request(b.host(), claimRequest("quick"), TIMEOUT_MILLIS).get(),
                     Either.right(ran("quick")));
-            assertEquals(late.get().getLeft(), PeerError.TIMED_OUT);
-            asked.clear();
-            CompletableFuture<Either<PeerError, PeerMessage>> second =
-                    a.network().request(b.host(), claimAsk("second"), PATIENCE_MILLIS);
-            asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            answers.get("late").complete(Optional.of(ran("late")));
-            answers.get("second").complete(Optional.of(ran("second")));
-            assertEquals(second.get(), Either.right(ran("second")));
+            assertEquals(lateResponse.get().getLeft(), PeerError.TIMED_OUT);
+            requested.clear();
+            CompletableFuture<Either<PeerError, PeerMessage>> secondResponse =
+                    a.network().request(b.host(), claimRequest("second"), TIMEOUT_MILLIS);
+            requested.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            responses.get("late").complete(Optional.of(ran("late")));
+            responses.get("second").complete(Optional.of(ran("second")));
+            assertEquals(secondResponse.get(), Either.right(ran("second")));
         }
     }
 
     @Test
-    public void hostThatHangsUpAfterItsHelloIsDialledAgainOnlyAfterWait() throws Exception {
-        // Both hosts burn their processors: one says hello and hangs up, again and again, and the
-        // other dials at once, as its frames still wait. On a clock that stands still the wait
-        // never ends, so the second ask fails without another connection.
-        PeerListener hangingUp =
+    public void connectionClosedAfterHelloIsReplacedOnlyAfterBackoff() throws Exception {
+        // A host that closes each connection after its Hello would be dialed in a tight loop while
+        // frames are queued, at the cost of both hosts' CPU time. On a clock that stands still the
+        // backoff never ends, so the second request must fail without another connection.
+        PeerListener closing =
                 (from, message) -> {
-                    throw new IllegalStateException("hang up");
+                    throw new IllegalStateException("close");
                 };
         try (Node a =
                         node(
                                 "a",
-                                SILENT,
-                                TestHosts.NO_SIGNS,
+                                NO_RESPONSE,
+                                TestHosts.NO_LIVENESS_CHECKS,
                                 new VirtualClock(0),
                                 PeerCounters.NONE);
-                Node b = node("b", hangingUp)) {
+                Node b = node("b", closing)) {
             assertEquals(
-                    a.network().request(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network()
+                            .request(b.host(), claimRequest("key"), TIMEOUT_MILLIS)
+                            .get()
+                            .getLeft(),
                     PeerError.CONNECTION_LOST);
             assertEquals(
-                    a.network().request(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network()
+                            .request(b.host(), claimRequest("key"), TIMEOUT_MILLIS)
+                            .get()
+                            .getLeft(),
                     PeerError.UNREACHABLE);
         }
     }
 
     @Test
     public void brokenInvariantInListenerIsNotSwallowed() throws Exception {
-        // The process would go on with a state that it knows to be contradictory. The I/O library
-        // catches what its handlers throw; a broken invariant must get out all the same.
+        // The I/O library catches what its handlers throw. A broken invariant must reach the
+        // uncaught exception handler all the same, or the process would continue with an
+        // inconsistent state.
         BlockingQueue<Throwable> uncaught = new LinkedBlockingQueue<>();
-        Thread.UncaughtExceptionHandler before = Thread.getDefaultUncaughtExceptionHandler();
+        Thread.UncaughtExceptionHandler previous = Thread.getDefaultUncaughtExceptionHandler();
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> uncaught.add(failure));
         PeerListener broken =
                 (from, message) -> {
                     throw new BrokenInvariantException("two owners");
                 };
-        try (Node a = node("a", SILENT);
+        try (Node a = node("a", NO_RESPONSE);
                 Node b = node("b", broken)) {
-            a.network().send(b.host(), END);
-            Throwable failure = uncaught.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            a.network().send(b.host(), RELEASE);
+            Throwable failure = uncaught.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertTrue(failure instanceof BrokenInvariantException, String.valueOf(failure));
         } finally {
-            Thread.setDefaultUncaughtExceptionHandler(before);
+            Thread.setDefaultUncaughtExceptionHandler(previous);
         }
     }
 
     @Test
     public void hostAtAnotherHostsAddressGetsNoMessage() throws Exception {
-        CountingPeers counters = new CountingPeers();
-        BlockingQueue<PeerMessage> heard = new LinkedBlockingQueue<>();
-        try (Node a = node("a", SILENT, TestHosts.NO_SIGNS, counters);
-                Node b = node("b", hearing(heard))) {
+        RecordingPeerCounters counters = new RecordingPeerCounters();
+        BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
+        try (Node a = node("a", NO_RESPONSE, TestHosts.NO_LIVENESS_CHECKS, counters);
+                Node b = node("b", recording(received))) {
             HostRecord replaced = host("c", b.host().peerPort());
             assertEquals(
-                    a.network().request(replaced, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network()
+                            .request(replaced, claimRequest("key"), TIMEOUT_MILLIS)
+                            .get()
+                            .getLeft(),
                     PeerError.UNREACHABLE);
-            assertEquals(counters.next(), "refused BAD_HELLO");
-            assertTrue(heard.isEmpty());
+            assertEquals(counters.next(), "rejected BAD_HELLO");
+            assertTrue(received.isEmpty());
         }
     }
 
-    private static PeerListener hearing(BlockingQueue<PeerMessage> heard) {
+    private static PeerListener recording(BlockingQueue<PeerMessage> received) {
         return (from, message) -> {
-            heard.add(message);
+            received.add(message);
             return CompletableFuture.completedFuture(Optional.empty());
         };
     }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/OutgoingQueueTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/OutgoingQueueTest.java
@@ -9,32 +9,32 @@
 
 public class OutgoingQueueTest {
 
-    private static final OutgoingQueue.Entry OLD_BEAT = entry(0, true, 10);
-    private static final OutgoingQueue.Entry ASK = entry(5, false, 10);
-    private static final OutgoingQueue.Entry NEW_BEAT = entry(0, true, 10);
+    private static final OutgoingQueue.Entry OLD_HEARTBEAT = entry(0, true, 10);
+    private static final OutgoingQueue.Entry REQUEST = entry(5, false, 10);
+    private static final OutgoingQueue.Entry NEW_HEARTBEAT = entry(0, true, 10);
 
     @Test
-    public void oldestHeartbeatGoesFirstAndAsksNever() {
+    public void fullQueueDropsOldestHeartbeatAndNoRequest() {
         OutgoingQueue queue = new OutgoingQueue(2);
-        assertEquals(queue.offer(OLD_BEAT), List.of());
-        assertEquals(queue.offer(ASK), List.of());
-        assertEquals(queue.offer(NEW_BEAT), List.of(OLD_BEAT));
-        assertEquals(queue.poll(), Optional.of(ASK));
-        assertEquals(queue.poll(), Optional.of(NEW_BEAT));
-        queue.offer(ASK);
-        queue.offer(ASK);
-        assertEquals(queue.offer(NEW_BEAT), List.of(NEW_BEAT));
+        assertEquals(queue.offer(OLD_HEARTBEAT), List.of());
+        assertEquals(queue.offer(REQUEST), List.of());
+        assertEquals(queue.offer(NEW_HEARTBEAT), List.of(OLD_HEARTBEAT));
+        assertEquals(queue.poll(), Optional.of(REQUEST));
+        assertEquals(queue.poll(), Optional.of(NEW_HEARTBEAT));
+        queue.offer(REQUEST);
+        queue.offer(REQUEST);
+        assertEquals(queue.offer(NEW_HEARTBEAT), List.of(NEW_HEARTBEAT));
     }
 
     @Test
-    public void bytesAreBoundedToo() {
+    public void queuedBytesAreBounded() {
         OutgoingQueue queue = new OutgoingQueue(100);
         OutgoingQueue.Entry large = entry(1, false, FrameCodec.MAX_FRAME_BYTES);
         queue.offer(large);
         queue.offer(large);
-        assertEquals(queue.offer(ASK), List.of(ASK));
+        assertEquals(queue.offer(REQUEST), List.of(REQUEST));
         queue.poll();
-        assertEquals(queue.offer(ASK), List.of());
+        assertEquals(queue.offer(REQUEST), List.of());
     }
 
     private static OutgoingQueue.Entry entry(long correlation, boolean heartbeat, int bytes) {
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.peer.net;
 
-import static org.cyclamenpaddle.peer.net.TestHosts.SILENT;
+import static org.cyclamenpaddle.peer.net.TestHosts.NO_RESPONSE;
 import static org.cyclamenpaddle.peer.net.TestHosts.host;
 import static org.cyclamenpaddle.peer.net.TestHosts.node;
 import static org.testng.Assert.assertEquals;
@@ -32,88 +32,93 @@
 
 public class PeerNetworkTest {
 
-    private static final long PATIENCE_MILLIS = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     @Test
     public void oneWayMessageArrivesWithItsSender() throws Exception {
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         PeerListener listener =
                 (from, message) -> {
-                    heard.add(from.incarnation().host() + " " + message);
+                    received.add(from.incarnation().host() + " " + message);
                     return CompletableFuture.completedFuture(Optional.empty());
                 };
-        try (Node a = node("a", SILENT);
+        try (Node a = node("a", NO_RESPONSE);
                 Node b = node("b", listener)) {
-            GrantRelease end = new GrantRelease(new AttemptId("a:1:1"), new BackendId("runner-1"));
-            a.network().send(b.host(), end);
-            assertEquals(heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "a " + end);
+            GrantRelease release =
+                    new GrantRelease(new AttemptId("a:1:1"), new BackendId("runner-1"));
+            a.network().send(b.host(), release);
+            assertEquals(received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "a " + release);
         }
     }
 
     @Test
-    public void answersInAnyOrderReachTheirOwnAskers() throws Exception {
-        // Callers of three hosts' keys see each their own answer. Three asks go out on one
-        // connection and their answers come back in reverse; an answer handed out by order instead
-        // of by number would tell one caller the fate of another's booking.
-        Map<String, CompletableFuture<Optional<PeerMessage>>> held = new HashMap<>();
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    public void responsesInAnyOrderCompleteTheirOwnRequests() throws Exception {
+        // Three requests are sent on one connection, and their responses arrive in reverse order.
+        // If responses were matched by order instead of by correlation number, a caller would see
+        // the result of another's booking.
+        Map<String, CompletableFuture<Optional<PeerMessage>>> pending = new HashMap<>();
+        BlockingQueue<String> requested = new LinkedBlockingQueue<>();
         PeerListener listener =
                 (from, message) -> {
-                    CompletableFuture<Optional<PeerMessage>> answer = new CompletableFuture<>();
-                    held.put(((ClaimRequest) message).key(), answer);
-                    asked.add(((ClaimRequest) message).key());
-                    return answer;
+                    CompletableFuture<Optional<PeerMessage>> response = new CompletableFuture<>();
+                    pending.put(((ClaimRequest) message).key(), response);
+                    requested.add(((ClaimRequest) message).key());
+                    return response;
                 };
-        try (Node a = node("a", SILENT);
+        try (Node a = node("a", NO_RESPONSE);
                 Node b = node("b", listener)) {
-            List<CompletableFuture<Either<PeerError, PeerMessage>>> answers = new ArrayList<>();
+            List<CompletableFuture<Either<PeerError, PeerMessage>>> responses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                answers.add(a.network().request(b.host(), claimAsk("key-" + i), PATIENCE_MILLIS));
-                assertEquals(asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "key-" + i);
+                responses.add(
+                        a.network().request(b.host(), claimRequest("key-" + i), TIMEOUT_MILLIS));
+                assertEquals(requested.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "key-" + i);
             }
             for (int i = 2; i >= 0; i--) {
-                held.get("key-" + i).complete(Optional.of(ran("answer-" + i)));
+                pending.get("key-" + i).complete(Optional.of(ran("answer-" + i)));
             }
             for (int i = 0; i < 3; i++) {
-                assertEquals(answers.get(i).get(), Either.right(ran("answer-" + i)));
+                assertEquals(responses.get(i).get(), Either.right(ran("answer-" + i)));
             }
         }
     }
 
     @Test
-    public void probeTellsAliveDeadAndReplacedHosts() throws Exception {
-        try (Node a = node("a", SILENT);
-                Node b = node("b", SILENT)) {
-            assertTrue(a.network().probe(b.host(), PATIENCE_MILLIS).get());
-            HostRecord laterLife = host("b", 2, b.host().peerPort());
-            assertFalse(a.network().probe(laterLife, PATIENCE_MILLIS).get());
-            assertFalse(a.network().probe(host("c", unboundPort()), PATIENCE_MILLIS).get());
+    public void probeDistinguishesAliveDeadAndReplacedHosts() throws Exception {
+        try (Node a = node("a", NO_RESPONSE);
+                Node b = node("b", NO_RESPONSE)) {
+            assertTrue(a.network().probe(b.host(), TIMEOUT_MILLIS).get());
+            HostRecord laterIncarnation = host("b", 2, b.host().peerPort());
+            assertFalse(a.network().probe(laterIncarnation, TIMEOUT_MILLIS).get());
+            assertFalse(a.network().probe(host("c", unboundPort()), TIMEOUT_MILLIS).get());
         }
     }
 
     @Test
-    public void askOfUnreachableHostFailsAsNeverSent() throws Exception {
-        try (Node a = node("a", SILENT)) {
-            HostRecord gone = host("b", unboundPort());
+    public void requestToUnreachableHostFailsAsNotSent() throws Exception {
+        try (Node a = node("a", NO_RESPONSE)) {
+            HostRecord unreachable = host("b", unboundPort());
             assertEquals(
-                    a.network().request(gone, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network()
+                            .request(unreachable, claimRequest("key"), TIMEOUT_MILLIS)
+                            .get()
+                            .getLeft(),
                     PeerError.UNREACHABLE);
         }
     }
 
     @Test
-    public void closedNetworkRefusesAtOnce() throws Exception {
-        Node a = node("a", SILENT);
+    public void closedNetworkFailsRequestsAtOnce() throws Exception {
+        Node a = node("a", NO_RESPONSE);
         a.close();
         HostRecord other = host("b", 1);
-        a.network().send(other, claimAsk("key"));
+        a.network().send(other, claimRequest("key"));
         assertEquals(
-                a.network().request(other, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                a.network().request(other, claimRequest("key"), TIMEOUT_MILLIS).get().getLeft(),
                 PeerError.CLOSED);
-        assertFalse(a.network().probe(other, PATIENCE_MILLIS).get());
+        assertFalse(a.network().probe(other, TIMEOUT_MILLIS).get());
     }
 
-    static ClaimRequest claimAsk(String key) {
+    static ClaimRequest claimRequest(String key) {
         return new ClaimRequest(new ServiceName("spot-book"), key);
     }
 
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/CountingPeers.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/RecordingPeerCounters.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 import org.cyclamenpaddle.peer.codec.FrameError;
 
-/** Counters that keep what was refused, dropped and replaced, in order. */
-final class CountingPeers implements PeerCounters {
+/** Records the rejected and dropped frames and the replaced connections, in order. */
+final class RecordingPeerCounters implements PeerCounters {
 
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<String> mCounted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> mRecorded = new LinkedBlockingQueue<>();
 
     @Override
     public void frameReceived(int bytes) {}
@@ -20,20 +20,20 @@
 
     @Override
     public void frameRejected(FrameError error) {
-        mCounted.add("refused " + error);
+        mRecorded.add("rejected " + error);
     }
 
     @Override
     public void frameDropped(DropReason reason) {
-        mCounted.add("dropped " + reason);
+        mRecorded.add("dropped " + reason);
     }
 
     @Override
     public void silentConnectionReplaced() {
-        mCounted.add("replaced");
+        mRecorded.add("replaced");
     }
 
     String next() throws InterruptedException {
-        return String.valueOf(mCounted.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        return String.valueOf(mRecorded.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/SilencingRelay.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/SilencingRelay.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Relay whose connections can be made to go silent for good while they stay open. */
+/** TCP relay that can blackhole its open connections without closing them. */
 final class SilencingRelay implements AutoCloseable {
 
     private final ServerSocket mSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -32,7 +32,7 @@
         mThreads.shutdownNow();
     }
 
-    /** Makes every connection that is open now swallow what it gets; later ones pass all. */
+    /** Makes the connections that are open now drop all they receive; later ones relay normally. */
     void silence() {
         mSilencedBefore = mConnections;
     }
@@ -63,7 +63,7 @@
                 }
             }
         } catch (IOException ended) {
-            // One end went, and both sockets are closed with it.
+            // One end closed its connection, and both sockets are closed with it.
         }
     }
 }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/TestHosts.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/TestHosts.java
@@ -11,20 +11,20 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.core.time.MonotonicClock;
 
-/** Host records and networks on the loopback address. */
+/** Creates host records and networks on the loopback address. */
 final class TestHosts {
 
     static final String LOOPBACK = "127.0.0.1";
 
-    static final PeerListener SILENT =
+    static final PeerListener NO_RESPONSE =
             (from, message) -> CompletableFuture.completedFuture(Optional.<PeerMessage>empty());
 
-    /** Asks for signs of life so seldom that a test ends before. */
-    static final PeerSettings NO_SIGNS =
+    /** Interval of liveness checks longer than any test. */
+    static final PeerSettings NO_LIVENESS_CHECKS =
             new PeerSettings(1, 20_000, 10, 100, 60_000, 60_000, 64, 20_000, 16);
 
-    /** Checks often whether a sign of life is due, by the clock of the network. */
-    static final PeerSettings SIGNS =
+    /** Checks liveness often, by the clock of the network. */
+    static final PeerSettings LIVENESS_CHECKS =
             new PeerSettings(1, 20_000, 10, 100, 50, 60_000, 64, 20_000, 16);
 
     private TestHosts() {}
@@ -43,7 +43,7 @@
                 HostState.ALIVE);
     }
 
-    /** A network and the record under which others reach it. */
+    /** A network and the host record by which others reach it. */
     record Node(PeerNetwork network, HostRecord host) implements AutoCloseable {
         @Override
         public void close() {
@@ -68,6 +68,6 @@
     }
 
     static Node node(String name, PeerListener listener) {
-        return node(name, listener, NO_SIGNS, PeerCounters.NONE);
+        return node(name, listener, NO_LIVENESS_CHECKS, PeerCounters.NONE);
     }
 }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/WrongFramesTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/WrongFramesTest.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.peer.net;
 
-import static org.cyclamenpaddle.peer.net.PeerNetworkTest.claimAsk;
+import static org.cyclamenpaddle.peer.net.PeerNetworkTest.claimRequest;
 import static org.cyclamenpaddle.peer.net.PeerNetworkTest.ran;
 import static org.cyclamenpaddle.peer.net.TestHosts.LOOPBACK;
-import static org.cyclamenpaddle.peer.net.TestHosts.SILENT;
+import static org.cyclamenpaddle.peer.net.TestHosts.NO_RESPONSE;
 import static org.cyclamenpaddle.peer.net.TestHosts.node;
 import static org.testng.Assert.assertEquals;
 
@@ -31,12 +31,12 @@
 
     private static final long SEED = 20_261_204L;
     private static final int MUTANTS = 300;
-    private static final long PATIENCE_MILLIS = 20_000;
-    private static final int SOCKET_PATIENCE_MILLIS = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
+    private static final int SOCKET_TIMEOUT_MILLIS = 20_000;
     private static final FrameCodec CODEC = new FrameCodec();
 
-    private CountingPeers mCounters;
-    private Node mAsker;
+    private RecordingPeerCounters mCounters;
+    private Node mRequester;
     private Node mTarget;
 
     @BeforeMethod
@@ -44,47 +44,47 @@
         PeerListener listener =
                 (from, message) ->
                         CompletableFuture.completedFuture(Optional.<PeerMessage>of(ran("yes")));
-        mCounters = new CountingPeers();
-        mAsker = node("a", SILENT);
-        mTarget = node("b", listener, TestHosts.NO_SIGNS, mCounters);
+        mCounters = new RecordingPeerCounters();
+        mRequester = node("a", NO_RESPONSE);
+        mTarget = node("b", listener, TestHosts.NO_LIVENESS_CHECKS, mCounters);
     }
 
     @AfterMethod
     public void close() {
-        mAsker.close();
+        mRequester.close();
         mTarget.close();
     }
 
     @DataProvider
-    public Object[][] wrongFrames() {
-        byte[] claim = frame(new Frame(9, claimAsk("key")));
-        byte[] otherVersion = claim.clone();
-        otherVersion[0] = FrameCodec.VERSION + 1;
-        byte[] otherType = claim.clone();
-        otherType[1] = 99;
-        byte[] cut = java.util.Arrays.copyOf(claim, claim.length - 1);
-        byte[] wrongField = claim.clone();
-        wrongField[3] = (byte) 0xc0;
+    public Object[][] invalidFrames() {
+        byte[] claim = frame(new Frame(9, claimRequest("key")));
+        byte[] unknownVersion = claim.clone();
+        unknownVersion[0] = FrameCodec.VERSION + 1;
+        byte[] unknownType = claim.clone();
+        unknownType[1] = 99;
+        byte[] truncated = java.util.Arrays.copyOf(claim, claim.length - 1);
+        byte[] invalidField = claim.clone();
+        invalidField[3] = (byte) 0xc0;
         return new Object[][] {
             {true, FrameCodec.MAX_FRAME_BYTES + 1, new byte[0], "TOO_LONG"},
             {true, -1, new byte[0], "TOO_LONG"},
-            {true, cut.length, cut, "CUT_OFF"},
+            {true, truncated.length, truncated, "CUT_OFF"},
             {true, 0, new byte[0], "CUT_OFF"},
-            {true, claim.length, cut, "CUT_OFF"},
-            {true, claim.length, otherVersion, "WRONG_VERSION"},
-            {true, claim.length, otherType, "UNKNOWN_TYPE"},
-            {true, claim.length, wrongField, "BAD_FIELDS"},
+            {true, claim.length, truncated, "CUT_OFF"},
+            {true, claim.length, unknownVersion, "WRONG_VERSION"},
+            {true, claim.length, unknownType, "UNKNOWN_TYPE"},
+            {true, claim.length, invalidField, "BAD_FIELDS"},
             {false, claim.length, claim, "BAD_HELLO"},
         };
     }
 
-    @Test(dataProvider = "wrongFrames")
-    public void wrongFrameIsCountedAndEndsOnlyItsConnection(
+    @Test(dataProvider = "invalidFrames")
+    public void invalidFrameIsCountedAndClosesOnlyItsConnection(
             boolean helloFirst, int length, byte[] bytes, String error) throws Exception {
-        // Callers of other hosts would lose their answers. A peer gone wrong sends a bad frame,
-        // which is counted and ends its connection, while another host's asks are still answered
-        // over the connection they had.
-        assertAnswered();
+        // A faulty peer sends a malformed frame, which must be counted and close only its own
+        // connection. Requests of another host must still get their responses over their existing
+        // connection.
+        assertResponds();
         try (Socket socket = new Socket(LOOPBACK, mTarget.host().peerPort())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             if (helloFirst) {
@@ -93,36 +93,39 @@
             out.writeInt(length);
             out.write(bytes);
             socket.shutdownOutput();
-            awaitEnd(socket);
+            awaitClose(socket);
         }
-        assertEquals(mCounters.next(), "refused " + error);
-        assertAnswered();
+        assertEquals(mCounters.next(), "rejected " + error);
+        assertResponds();
     }
 
     @Test
-    public void mutatedFramesHarmNoOtherConnection() throws Exception {
+    public void mutatedFramesAffectNoOtherConnection() throws Exception {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         byte[] hello = frame(new Frame(1, new Hello(TestHosts.host("x", 0))));
         for (int i = 0; i < MUTANTS; i++) {
-            byte[] claim = frame(new Frame(i, claimAsk("key-" + i)));
+            byte[] claim = frame(new Frame(i, claimRequest("key-" + i)));
             try (Socket socket = new Socket(LOOPBACK, mTarget.host().peerPort())) {
                 DataOutputStream out = new DataOutputStream(socket.getOutputStream());
                 write(out, hello);
                 out.writeInt(claim.length);
                 out.write(Mutations.mutate(claim, random));
                 socket.shutdownOutput();
-                awaitEnd(socket);
-            } catch (SocketException closedAlready) {
+                awaitClose(socket);
+            } catch (SocketException alreadyClosed) {
                 continue;
             }
         }
-        assertAnswered();
+        assertResponds();
     }
 
-    private void assertAnswered() throws Exception {
-        Either<PeerError, PeerMessage> answer =
-                mAsker.network().request(mTarget.host(), claimAsk("key"), PATIENCE_MILLIS).get();
-        assertEquals(answer, Either.right(ran("yes")));
+    private void assertResponds() throws Exception {
+        Either<PeerError, PeerMessage> response =
+                mRequester
+                        .network()
+                        .request(mTarget.host(), claimRequest("key"), TIMEOUT_MILLIS)
+                        .get();
+        assertEquals(response, Either.right(ran("yes")));
     }
 
     private static byte[] frame(Frame frame) {
@@ -134,14 +137,14 @@
         out.write(frame);
     }
 
-    private static void awaitEnd(Socket socket) throws IOException {
-        socket.setSoTimeout(SOCKET_PATIENCE_MILLIS);
+    private static void awaitClose(Socket socket) throws IOException {
+        socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
         try {
             while (socket.getInputStream().read() >= 0) {
                 continue;
             }
         } catch (SocketException reset) {
-            // The other end closed while bytes were under way, which ends the connection as well.
+            // The other end closed while bytes were in flight, which closes the connection as well.
         }
     }
 }
