--- a/cyclamenpaddle-http/src/main/java/org/cyclamenpaddle/http/CleartextClients.java
+++ b/cyclamenpaddle-http/src/main/java/org/cyclamenpaddle/http/CleartextClients.java
@@ -8,16 +8,16 @@
 import io.netty.resolver.DefaultAddressResolverGroup;
 
 /**
- * Begins the client factories of processes that speak HTTP without encryption to IP numbers.
+ * Creates builders of HTTP client factories for cleartext connections to IP addresses.
  *
- * <p>The library prepares every factory for encrypted connections, for name lookups and for metrics
- * of its own: it loads a native library and two security providers, and reads the host's resolver
- * files. A host uses none of it, and would do this work at each start, while callers wait for it to
- * be back.
+ * <p>By default the library prepares every factory for TLS, for name resolution and for metrics of
+ * its own: it loads a native library and two security providers, and reads the host's resolver
+ * files. A host needs none of this, and it would delay each start, while callers wait for the host
+ * to return.
  */
 public final class CleartextClients {
 
-    /** Offers no key, asked only if an encrypted connection is ever opened. */
+    /** Provides no key; called only if a TLS connection is opened. */
     private static final class NoKeys implements TlsProvider {
 
         @Override
@@ -28,7 +28,7 @@
 
     private CleartextClients() {}
 
-    /** Returns a builder of a factory that looks up no names and prepares no encryption. */
+    /** Returns a builder of a factory without TLS, name resolution and metrics. */
     public static ClientFactoryBuilder factory() {
         return ClientFactory.builder()
                 .tlsProvider(new NoKeys())
--- a/cyclamenpaddle-http/src/main/java/org/cyclamenpaddle/http/package-info.java
+++ b/cyclamenpaddle-http/src/main/java/org/cyclamenpaddle/http/package-info.java
@@ -1,2 +1,2 @@
-/** What all HTTP clients of the project have in common. */
+/** Shared configuration of the HTTP clients. */
 package org.cyclamenpaddle.http;
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ConfigurationCodec.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ConfigurationCodec.java
@@ -25,10 +25,10 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Converts configuration documents, {@code {"changeId", "spec"}}, to typed specs and back.
+ * Encodes and decodes configuration documents, {@code {"changeId", "spec"}}.
  *
- * <p>Strict: an unknown or doubled member, a value of another type and a value that its record
- * refuses all give a left value with one sentence that names the member. Thread-safe.
+ * <p>Decoding is strict: an unknown or duplicate member, a value of another type and a value that
+ * its record rejects each give a left value with one sentence that names the member. Thread-safe.
  */
 public final class ConfigurationCodec {
 
@@ -38,30 +38,30 @@
 
     private record SubmittedDocument(JsonNode version, JsonNode changeId, JsonNode spec) {}
 
-    /** Returns the service in a stored document, or what is wrong with it. */
+    /** Decodes a stored service document, or returns why it is invalid. */
     public Either<String, ServiceSpec> service(String document) {
         return stored(document, ServiceSpec.class);
     }
 
-    /** Returns the backend server in a stored document, or what is wrong with it. */
+    /** Decodes a stored backend server document, or returns why it is invalid. */
     public Either<String, BackendSpec> backend(String document) {
         return stored(document, BackendSpec.class);
     }
 
-    /** Returns the preset in a stored document, or what is wrong with it. */
+    /** Decodes a stored preset document, or returns why it is invalid. */
     public Either<String, PresetSpec> preset(String document) {
         return stored(document, PresetSpec.class);
     }
 
-    /** Returns the naming of the preset in force in a stored document, or what is wrong with it. */
+    /** Decodes a stored document that names the preset in force, or returns why it is invalid. */
     public Either<String, InForceSpec> inForce(String document) {
         return stored(document, InForceSpec.class);
     }
 
     /**
-     * Returns the typed spec in what an operator submitted, or what is wrong with it.
+     * Decodes the spec that an operator submitted, or returns why it is invalid.
      *
-     * @param key the object to write; its name must be the one in the spec
+     * @param key key of the object to write; its name must match the one in the spec
      * @param body {@code {"spec"}}; members {@code version} and {@code changeId} are ignored
      */
     public Either<String, Object> submitted(ObjectKey key, String body) {
@@ -70,12 +70,15 @@
                 .flatMap(spec -> named(key, spec));
     }
 
-    /** Returns the change that wrote a stored document; empty if the document is no such one. */
+    /**
+     * Returns the id of the change that wrote a stored document; empty if the document is
+     * malformed.
+     */
     public Optional<ChangeId> changeId(String document) {
         return read(document, StoredDocument.class).toJavaOptional().map(StoredDocument::changeId);
     }
 
-    /** Returns the spec of a stored document as JSON text; empty if it is malformed. */
+    /** Returns the spec of a stored document as JSON text; empty if the document is malformed. */
     public Optional<String> specText(String document) {
         return read(document, StoredDocument.class)
                 .toJavaOptional()
@@ -83,9 +86,9 @@
     }
 
     /**
-     * Returns the stored document of a spec.
+     * Encodes the stored document of a spec.
      *
-     * @param changeId the change that writes it
+     * @param changeId id of the change that writes it
      * @param spec a service, backend server, preset or in-force spec
      */
     public String encode(ChangeId changeId, Object spec) {
@@ -93,24 +96,25 @@
             return mMapper.writeValueAsString(
                     new StoredDocument(changeId, mMapper.valueToTree(spec)));
         } catch (JsonProcessingException impossible) {
-            throw new IllegalArgumentException("spec " + spec + " has no document", impossible);
+            throw new IllegalArgumentException(
+                    "spec " + spec + " can't be encoded as JSON", impossible);
         }
     }
 
-    /** Returns the view of all objects that can be parsed; see {@link #parse} for the others. */
+    /** Returns the view of all valid objects; {@link #parse} also reports the others. */
     public ConfigurationView view(Collection<ConfigurationObject> objects) {
         return parse(objects).view();
     }
 
     /**
-     * Parses a set of objects; tombstones count as absent.
+     * Decodes a set of objects; tombstones count as absent.
      *
-     * <p>A document that fails to parse, or whose spec bears another name than its key, is left out
-     * and reported, so that one bad object takes no other out of force.
+     * <p>An invalid document, or one whose spec has another name than its key, is skipped and
+     * reported, so that one invalid object does not affect the others in force.
      */
     public ParsedConfiguration parse(Collection<ConfigurationObject> objects) {
         Map<ObjectKey, Object> specs = new HashMap<>();
-        Map<ObjectKey, String> refused = new HashMap<>();
+        Map<ObjectKey, String> rejected = new HashMap<>();
         for (ConfigurationObject object : objects) {
             object.document()
                     .ifPresent(
@@ -118,9 +122,10 @@
                                     stored(document, specType(object.key().kind()))
                                             .flatMap(spec -> named(object.key(), spec))
                                             .peek(spec -> specs.put(object.key(), spec))
-                                            .peekLeft(why -> refused.put(object.key(), why)));
+                                            .peekLeft(
+                                                    reason -> rejected.put(object.key(), reason)));
         }
-        return new ParsedConfiguration(viewOf(specs), refused);
+        return new ParsedConfiguration(viewOf(specs), rejected);
     }
 
     private static ConfigurationView viewOf(Map<ObjectKey, Object> specs) {
@@ -164,7 +169,7 @@
                 };
         return name.equals(key.name())
                 ? Either.right(spec)
-                : Either.left("spec of " + key.path() + " bears the name '" + name + "'");
+                : Either.left("spec of " + key.path() + " has the name '" + name + "'");
     }
 
     private <T> Either<String, T> stored(String document, Class<T> type) {
@@ -180,14 +185,14 @@
         if (spec == null || !spec.isObject()) {
             return Either.left("member 'spec' must be an object");
         }
-        Optional<String> wrong = SpecMembers.firstWrong(spec, type, "spec");
-        if (wrong.isPresent()) {
-            return Either.left(wrong.get());
+        Optional<String> invalid = SpecMembers.firstInvalid(spec, type, "spec");
+        if (invalid.isPresent()) {
+            return Either.left(invalid.get());
         }
         try {
             return Either.right(mMapper.treeToValue(spec, type));
-        } catch (JsonProcessingException refused) {
-            return Either.left(reason(refused));
+        } catch (JsonProcessingException rejected) {
+            return Either.left(reason(rejected));
         }
     }
 
@@ -195,19 +200,19 @@
         try {
             return Optional.ofNullable(mMapper.readValue(text, type))
                     .<Either<String, T>>map(Either::right)
-                    .orElseGet(() -> Either.left("the document is null"));
-        } catch (JsonProcessingException refused) {
-            return Either.left(reason(refused));
+                    .orElseGet(() -> Either.left("the document must not be null"));
+        } catch (JsonProcessingException rejected) {
+            return Either.left(reason(rejected));
         }
     }
 
-    private static String reason(JsonProcessingException refused) {
-        Throwable cause = refused.getCause();
+    private static String reason(JsonProcessingException rejected) {
+        Throwable cause = rejected.getCause();
         String message =
                 cause instanceof IllegalArgumentException
                         ? cause.getMessage()
-                        : refused.getOriginalMessage();
-        return refused instanceof JsonMappingException mapping && !mapping.getPath().isEmpty()
+                        : rejected.getOriginalMessage();
+        return rejected instanceof JsonMappingException mapping && !mapping.getPath().isEmpty()
                 ? "at '" + path(mapping) + "': " + message
                 : message;
     }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ParsedConfiguration.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ParsedConfiguration.java
@@ -5,10 +5,10 @@
 import org.cyclamenpaddle.core.config.ObjectKey;
 
 /**
- * What could be made of a set of configuration objects.
+ * Result of decoding a set of configuration objects.
  *
- * @param view the objects that could be parsed
- * @param rejected why each other object was left out, by its key
+ * @param view the valid objects
+ * @param rejected why each other object was rejected, by its key
  */
 public record ParsedConfiguration(ConfigurationView view, Map<ObjectKey, String> rejected) {
     public ParsedConfiguration {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/SpecMembers.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/SpecMembers.java
@@ -12,33 +12,34 @@
 import java.util.stream.IntStream;
 
 /**
- * Compares the members of a document with the components of the record that it stands for.
+ * Validates the members of a document against the components of the record that it is bound to.
  *
- * <p>Jackson builds a record before it looks at unknown members, so a misspelt one would be told as
- * the missing value of another; and it takes null for a number as 0.
+ * <p>Jackson creates a record before it reports unknown members, so a misspelt member would be
+ * reported as a missing value of another one; and it reads null as 0 for a number.
  */
 final class SpecMembers {
 
     private SpecMembers() {}
 
-    /** Returns what is wrong with the first member that is unknown or null, if any. */
-    static Optional<String> firstWrong(JsonNode node, Type type, String path) {
+    /** Returns an error message for the first unknown or null member, if any. */
+    static Optional<String> firstInvalid(JsonNode node, Type type, String path) {
         if (node.isNull()) {
             return Optional.of("member '" + path + "' must not be null");
         }
         if (node.isArray() && type instanceof ParameterizedType list) {
             Type element = list.getActualTypeArguments()[0];
             return IntStream.range(0, node.size())
-                    .mapToObj(i -> firstWrong(node.get(i), element, path + "[" + i + "]"))
+                    .mapToObj(i -> firstInvalid(node.get(i), element, path + "[" + i + "]"))
                     .flatMap(Optional::stream)
                     .findFirst();
         }
         return node.isObject() && type instanceof Class<?> record && record.isRecord()
-                ? firstWrongOf(node, record, path)
+                ? firstInvalidMember(node, record, path)
                 : Optional.empty();
     }
 
-    private static Optional<String> firstWrongOf(JsonNode node, Class<?> record, String path) {
+    private static Optional<String> firstInvalidMember(
+            JsonNode node, Class<?> record, String path) {
         Map<String, RecordComponent> components =
                 Arrays.stream(record.getRecordComponents())
                         .collect(Collectors.toMap(RecordComponent::getName, Function.identity()));
@@ -49,7 +50,7 @@
                             RecordComponent component = components.get(member.getKey());
                             return component == null
                                     ? Optional.of("member '" + name + "' is unknown")
-                                    : firstWrong(
+                                    : firstInvalid(
                                             member.getValue(), component.getGenericType(), name);
                         })
                 .flatMap(Optional::stream)
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/StrictMapper.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/StrictMapper.java
@@ -22,7 +22,10 @@
 import org.cyclamenpaddle.core.id.PresetName;
 import org.cyclamenpaddle.core.id.ServiceName;
 
-/** Builds the JSON mapper of configuration documents: nothing unknown, nothing converted. */
+/**
+ * Creates the JSON mapper of configuration documents, which rejects unknown members and converts no
+ * types.
+ */
 final class StrictMapper {
 
     private StrictMapper() {}
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/package-info.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration objects between their documents in the object API and their typed specs. */
+/** Encoding and decoding of configuration objects: documents of the object API and typed specs. */
 package org.cyclamenpaddle.store.codec;
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HostList.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HostList.java
@@ -8,6 +8,6 @@
 @FunctionalInterface
 public interface HostList {
 
-    /** Reads the list; never blocks, and the future never completes exceptionally. */
+    /** Reads the list. Does not block, and the future never completes exceptionally. */
     CompletableFuture<Either<PlatformError, HostListing>> hosts();
 }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HostListing.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HostListing.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The platform's list of hosts; lagging, so only a hint.
+ * The platform's list of hosts; it lags, so it is only a hint.
  *
- * @param hosts the entries that could be read
- * @param malformed how many entries could not, and were left out
+ * @param hosts the valid entries
+ * @param malformed number of malformed entries, which were skipped
  */
 public record HostListing(List<ListedHost> hosts, int malformed) {
     public HostListing {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HttpHostList.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/HttpHostList.java
@@ -53,9 +53,9 @@
     /**
      * Creates the client; nothing is sent yet.
      *
-     * @param address IP number of the platform
+     * @param address IP address of the platform
      * @param port its TCP port
-     * @param timeoutMillis longest wait for an answer, in milliseconds
+     * @param timeoutMillis response timeout, in milliseconds
      */
     public HttpHostList(String address, int port, long timeoutMillis) {
         mConnection = new PlatformConnection(address, port, timeoutMillis);
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/ListedHost.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/hosts/ListedHost.java
@@ -4,14 +4,14 @@
 import org.cyclamenpaddle.core.id.HostId;
 
 /**
- * An entry host as the platform lists it.
+ * An entry host in the platform's list.
  *
  * @param host its name
- * @param address its IP number
+ * @param address its IP address
  * @param peerPort TCP port for peers
  * @param httpPort TCP port for callers and operators
  * @param domain its failure domain
- * @param leaving whether the platform is about to take it away
+ * @param leaving whether the platform is about to remove it
  */
 public record ListedHost(
         HostId host,
@@ -22,7 +22,7 @@
         boolean leaving) {
     public ListedHost {
         if (address == null || address.isEmpty()) {
-            throw new IllegalArgumentException("listed host " + host + " lacks an address");
+            throw new IllegalArgumentException("listed host " + host + " must have an address");
         }
     }
 }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/PlatformConnection.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/PlatformConnection.java
@@ -21,11 +21,11 @@
 import org.cyclamenpaddle.http.CleartextClients;
 
 /**
- * Sends calls to the platform, each over a connection of its own.
+ * HTTP client of the platform that opens a new connection for each call.
  *
- * <p>An open connection can go silent for good, and each call sent over it would then be lost until
- * its timeout. A connection that serves one call only can harm no later one; a host makes only a
- * few platform calls a second, so that opening them costs little.
+ * <p>An open connection can go silent without being closed, and each call sent over it would then
+ * be lost until its timeout. A connection used for a single call can't affect a later one. A host
+ * makes only a few platform calls per second, so opening connections costs little.
  */
 public final class PlatformConnection implements AutoCloseable {
 
@@ -39,11 +39,11 @@
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
     /**
-     * Creates the client side; nothing is sent yet.
+     * Creates the client; nothing is sent yet.
      *
-     * @param address IP number of the platform
+     * @param address IP address of the platform
      * @param port its TCP port
-     * @param timeoutMillis longest wait for the answer to a call, in milliseconds
+     * @param timeoutMillis response timeout of a call, in milliseconds
      */
     public PlatformConnection(String address, int port, long timeoutMillis) {
         mTimeoutMillis = timeoutMillis;
@@ -60,11 +60,12 @@
     }
 
     /**
-     * Sends a call and reads its whole answer.
+     * Sends a call and reads its complete response.
      *
-     * @param request the call
-     * @param extraMillis time to wait beyond the usual timeout, for calls that wait themselves
-     * @param read makes the result of an answer, whatever its status
+     * @param request the request
+     * @param extraMillis time added to the response timeout, in milliseconds, for calls that the
+     *     platform holds open
+     * @param read converts the response, whatever its status
      */
     public <T> CompletableFuture<Either<PlatformError, T>> call(
             HttpRequest request,
@@ -72,7 +73,7 @@
             Function<AggregatedHttpResponse, Either<PlatformError, T>> read) {
         long timeoutMillis = mTimeoutMillis + extraMillis;
         try (ClientRequestContextCaptor captor = Clients.newContextCaptor()) {
-            CompletableFuture<AggregatedHttpResponse> answer =
+            CompletableFuture<AggregatedHttpResponse> aggregated =
                     mClient.execute(
                                     request,
                                     com.linecorp.armeria.client.RequestOptions.builder()
@@ -80,7 +81,7 @@
                                             .build())
                             .aggregate();
             ClientRequestContext context = captor.get();
-            return answer.handle(
+            return aggregated.handle(
                     (response, failure) ->
                             failure == null
                                     ? read.apply(response)
@@ -89,10 +90,11 @@
     }
 
     /**
-     * Returns the body of an answer as a value of {@code type}, or why it is no such body.
+     * Decodes the body of a response as a value of {@code type}, or returns {@link #rejected} if it
+     * is malformed.
      *
-     * @param response the answer
-     * @param type a record whose components are the members; unknown members are ignored
+     * @param response the response
+     * @param type a record whose components are the JSON members; unknown members are ignored
      */
     public <T> Either<PlatformError, T> body(AggregatedHttpResponse response, Class<T> type) {
         try {
@@ -108,11 +110,12 @@
         try {
             return mMapper.writeValueAsString(value);
         } catch (JsonProcessingException impossible) {
-            throw new IllegalArgumentException("no JSON for " + value, impossible);
+            throw new IllegalArgumentException(
+                    "expected a value that can be encoded as JSON, got " + value, impossible);
         }
     }
 
-    /** Returns the error for an answer that the protocol does not know. */
+    /** Returns the error for a response that is not part of the protocol. */
     public PlatformError rejected(AggregatedHttpResponse response) {
         return new PlatformError.Rejected(response.status().code(), response.contentUtf8());
     }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/PlatformError.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/PlatformError.java
@@ -1,23 +1,23 @@
 package org.cyclamenpaddle.store.http;
 
-/** Why a platform call gave no answer that can be used. */
+/** Why a platform call failed. */
 public sealed interface PlatformError {
 
-    /** Returns whether the call may have taken effect at the platform all the same. */
+    /** Returns whether the call may have taken effect at the platform despite the failure. */
     boolean mayHaveTakenEffect();
 
     /**
-     * The platform could not be reached, or the connection broke.
+     * The platform could not be reached, or the connection was lost.
      *
-     * @param detail what happened
-     * @param mayHaveTakenEffect false only if no connection came about
+     * @param detail the cause
+     * @param mayHaveTakenEffect false only if no connection was established
      */
     record Unreachable(String detail, boolean mayHaveTakenEffect) implements PlatformError {}
 
     /**
-     * No whole answer came in time.
+     * No complete response came in time.
      *
-     * @param timeoutMillis how long was waited, in milliseconds
+     * @param timeoutMillis the response timeout, in milliseconds
      */
     record TimedOut(long timeoutMillis) implements PlatformError {
         @Override
@@ -27,10 +27,11 @@
     }
 
     /**
-     * The platform answered, but with no answer of its protocol.
+     * The platform responded with an error status or with a response that is not part of the
+     * protocol.
      *
      * @param status HTTP status
-     * @param reason what it said, or what was wrong with the answer
+     * @param reason body of the response
      */
     record Rejected(int status, String reason) implements PlatformError {
 
@@ -38,8 +39,8 @@
         private static final int CLIENT_ERROR = 400;
 
         /**
-         * True but for a 4xx: a server error may come after the write, and so may an answer with a
-         * success status that can't be read.
+         * Returns true unless the status is 4xx: a server error may follow a write that took
+         * effect, and so may a malformed response with a success status.
          */
         @Override
         public boolean mayHaveTakenEffect() {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/package-info.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP calls to the platform, each over a connection of its own, and their errors as values. */
+/** HTTP client of the platform with one connection per call and errors as values. */
 package org.cyclamenpaddle.store.http;
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeProgress.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeProgress.java
@@ -7,58 +7,61 @@
 import org.cyclamenpaddle.store.http.PlatformError;
 
 /**
- * Decides after each try of a change whether it is settled; immutable.
+ * State of a conditional change over its attempts: decides after each one whether the outcome is
+ * known. Immutable.
  *
- * @param triesLeft how often the write may still be sent
- * @param lostAnswer the first error after which an earlier try may have taken effect
+ * @param attemptsLeft how many more times the write may be sent
+ * @param lostResponse the first error of an attempt that may have taken effect
  */
-record ChangeProgress(int triesLeft, Optional<PlatformError> lostAnswer) {
+record ChangeProgress(int attemptsLeft, Optional<PlatformError> lostResponse) {
 
-    /** What to do next: send again with this progress, or end with this outcome. */
+    /** Next step: retry with this progress, or complete with this outcome. */
     record Step(
-            Optional<ChangeProgress> again, Optional<Either<PlatformError, ChangeResult>> outcome) {
+            Optional<ChangeProgress> retry, Optional<Either<PlatformError, ChangeResult>> outcome) {
         private static Step end(Either<PlatformError, ChangeResult> outcome) {
             return new Step(Optional.empty(), Optional.of(outcome));
         }
     }
 
-    static ChangeProgress start(int tries) {
-        return new ChangeProgress(tries, Optional.empty());
+    static ChangeProgress start(int attempts) {
+        return new ChangeProgress(attempts, Optional.empty());
     }
 
     /**
      * Returns the next step.
      *
-     * @param answer the answer to the try just made
-     * @param own whether an object as it stands, or its absence, is the work of this change; asked
-     *     only after an answer was lost
+     * @param result the result of the last attempt
+     * @param own tests whether the current object, or its absence, results from this change; used
+     *     only after a response was lost
      */
-    Step after(Either<PlatformError, WriteResult> answer, Predicate<Optional<StoredObject>> own) {
-        if (answer.isLeft()) {
-            return afterError(answer.getLeft());
+    Step after(Either<PlatformError, WriteResult> result, Predicate<Optional<StoredObject>> own) {
+        if (result.isLeft()) {
+            return afterError(result.getLeft());
         }
-        if (answer.get() instanceof WriteResult.Written written) {
+        if (result.get() instanceof WriteResult.Written written) {
             return accepted(OptionalLong.of(written.version()));
         }
-        Optional<StoredObject> current = ((WriteResult.Conflict) answer.get()).current();
-        // Failure: a try takes effect, its answer is lost, and the next try meets a conflict with
-        // it; the operator would be told that they lost against themselves. The change id in the
-        // object settles it, since no other change bears it.
-        if (lostAnswer.isPresent() && own.test(current)) {
+        Optional<StoredObject> current = ((WriteResult.Conflict) result.get()).current();
+        // If an attempt takes effect and its response is lost, the retry conflicts with it, and the
+        // operator would see a conflict with their own change. The change id in the object resolves
+        // this, since it is unique to the change.
+        if (lostResponse.isPresent() && own.test(current)) {
             return accepted(
                     current.map(object -> OptionalLong.of(object.version()))
                             .orElseGet(OptionalLong::empty));
         }
-        return Step.end(Either.right(new ChangeResult.Conflict(current, lostAnswer.isPresent())));
+        return Step.end(Either.right(new ChangeResult.Conflict(current, lostResponse.isPresent())));
     }
 
     private Step afterError(PlatformError error) {
-        Optional<PlatformError> lost =
-                lostAnswer.or(() -> Optional.of(error).filter(PlatformError::mayHaveTakenEffect));
-        boolean refused = error instanceof PlatformError.Rejected && !error.mayHaveTakenEffect();
-        return refused || triesLeft <= 1
-                ? Step.end(Either.left(lost.orElse(error)))
-                : new Step(Optional.of(new ChangeProgress(triesLeft - 1, lost)), Optional.empty());
+        Optional<PlatformError> lostError =
+                lostResponse.or(() -> Optional.of(error).filter(PlatformError::mayHaveTakenEffect));
+        boolean rejected = error instanceof PlatformError.Rejected && !error.mayHaveTakenEffect();
+        return rejected || attemptsLeft <= 1
+                ? Step.end(Either.left(lostError.orElse(error)))
+                : new Step(
+                        Optional.of(new ChangeProgress(attemptsLeft - 1, lostError)),
+                        Optional.empty());
     }
 
     private static Step accepted(OptionalLong version) {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeResult.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeResult.java
@@ -3,22 +3,22 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** What became of a conditional change. */
+/** Outcome of a conditional change. */
 public sealed interface ChangeResult {
 
     /**
-     * The change is done.
+     * The change took effect.
      *
-     * @param version its revision; empty for a deletion whose answer was lost
+     * @param version its revision; empty for a deletion whose response was lost
      */
     record Accepted(OptionalLong version) implements ChangeResult {}
 
     /**
-     * Another change stands.
+     * Another change is in place.
      *
-     * @param winner the object as it stands; empty if there is none
-     * @param tookEffectPossible whether the lost change may have been in force before the winner,
-     *     which is so only if an answer to it was lost
+     * @param current the current object; empty if there is none
+     * @param mayHaveTakenEffect whether this change may have been in force before the current one,
+     *     which is possible only if a response to it was lost
      */
     record Conflict(Optional<StoredObject> current, boolean mayHaveTakenEffect)
             implements ChangeResult {}
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ConditionalChange.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ConditionalChange.java
@@ -12,48 +12,48 @@
 import org.cyclamenpaddle.store.http.PlatformError;
 
 /**
- * Makes one configuration change end to end: also a lost answer is settled.
+ * Makes a configuration change and determines its outcome, even if a response is lost.
  *
- * <p>After a lost answer the same write is sent again under the same precondition. It can take
- * effect only if the first did not, and else the conflict brings the object as it stands, whose
- * change id says whose it is; so reading back and trying again are one call, and a first try that
- * is still under way can't land on top of the second.
+ * <p>After a lost response the same write is retried under the same precondition. It can take
+ * effect only if the first one did not; otherwise the conflict returns the current object, whose
+ * change id identifies its writer. So the retry also reads the object back, and a first attempt
+ * that is still in flight can't overwrite the second.
  */
 public final class ConditionalChange {
 
     private final ObjectStore mStore;
     private final ConfigurationCodec mCodec;
-    private final int mTries;
-    private final long mPauseMillis;
+    private final int mMaxAttempts;
+    private final long mRetryDelayMillis;
 
     /**
-     * Creates it.
+     * Creates a change writer.
      *
-     * @param store where changes are written
-     * @param codec reads the change id of what stands
-     * @param tries how often a write is sent at most, above 0
-     * @param pauseMillis wait between tries, in milliseconds
+     * @param store the store to write to
+     * @param codec reads the change id of the current object
+     * @param maxAttempts maximum number of times that a write is sent, above 0
+     * @param retryDelayMillis delay between attempts, in milliseconds
      */
     public ConditionalChange(
-            ObjectStore store, ConfigurationCodec codec, int tries, long pauseMillis) {
-        if (tries < 1) {
-            throw new IllegalArgumentException("tries " + tries + " must be above 0");
+            ObjectStore store, ConfigurationCodec codec, int maxAttempts, long retryDelayMillis) {
+        if (maxAttempts < 1) {
+            throw new IllegalArgumentException("attempts " + maxAttempts + " must be above 0");
         }
         mStore = store;
         mCodec = codec;
-        mTries = tries;
-        mPauseMillis = pauseMillis;
+        mMaxAttempts = maxAttempts;
+        mRetryDelayMillis = retryDelayMillis;
     }
 
     /**
      * Writes a configuration document.
      *
      * @param key key in the object API
-     * @param changeId identity of this change, used for no other
+     * @param changeId id of this change, unique to it
      * @param spec the new spec
      * @param precondition what must hold
-     * @return a left value only if it could not be settled; it says whether the change may have
-     *     taken effect
+     * @return a left value only if the outcome is unknown or no write was accepted; it tells
+     *     whether the change may have taken effect
      */
     public CompletableFuture<Either<PlatformError, ChangeResult>> put(
             String key, ChangeId changeId, Object spec, WritePrecondition precondition) {
@@ -64,11 +64,11 @@
                         current.flatMap(object -> mCodec.changeId(object.value()))
                                 .filter(changeId::equals)
                                 .isPresent(),
-                ChangeProgress.start(mTries));
+                ChangeProgress.start(mMaxAttempts));
     }
 
     /**
-     * Deletes a configuration object; one that is gone after a lost answer counts as deleted.
+     * Deletes a configuration object; one that is absent after a lost response counts as deleted.
      *
      * @param key key in the object API
      * @param version the version that the operator saw
@@ -76,7 +76,9 @@
      */
     public CompletableFuture<Either<PlatformError, ChangeResult>> delete(String key, long version) {
         return run(
-                () -> mStore.delete(key, version), Optional::isEmpty, ChangeProgress.start(mTries));
+                () -> mStore.delete(key, version),
+                Optional::isEmpty,
+                ChangeProgress.start(mMaxAttempts));
     }
 
     private CompletableFuture<Either<PlatformError, ChangeResult>> run(
@@ -85,20 +87,21 @@
             ChangeProgress progress) {
         return write.get()
                 .thenCompose(
-                        answer -> {
-                            ChangeProgress.Step step = progress.after(answer, own);
+                        writeResult -> {
+                            ChangeProgress.Step step = progress.after(writeResult, own);
                             return step.outcome()
                                     .map(CompletableFuture::completedFuture)
-                                    .orElseGet(() -> again(write, own, step.again().orElseThrow()));
+                                    .orElseGet(() -> retry(write, own, step.retry().orElseThrow()));
                         });
     }
 
-    private CompletableFuture<Either<PlatformError, ChangeResult>> again(
+    private CompletableFuture<Either<PlatformError, ChangeResult>> retry(
             Supplier<CompletableFuture<Either<PlatformError, WriteResult>>> write,
             Predicate<Optional<StoredObject>> own,
             ChangeProgress progress) {
-        Executor later = CompletableFuture.delayedExecutor(mPauseMillis, TimeUnit.MILLISECONDS);
-        return CompletableFuture.supplyAsync(() -> run(write, own, progress), later)
+        Executor delayed =
+                CompletableFuture.delayedExecutor(mRetryDelayMillis, TimeUnit.MILLISECONDS);
+        return CompletableFuture.supplyAsync(() -> run(write, own, progress), delayed)
                 .thenCompose(result -> result);
     }
 }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/HttpObjectStore.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/HttpObjectStore.java
@@ -32,10 +32,10 @@
     /**
      * Creates the client; nothing is sent yet.
      *
-     * @param address IP number of the platform
+     * @param address IP address of the platform
      * @param port its TCP port
-     * @param timeoutMillis longest wait for the answer to a call, in milliseconds; a watch waits
-     *     that much longer than it asks the platform to
+     * @param timeoutMillis response timeout of a call, in milliseconds; a watch adds it to the wait
+     *     that it requests of the platform
      */
     public HttpObjectStore(String address, int port, long timeoutMillis) {
         mConnection = new PlatformConnection(address, port, timeoutMillis);
@@ -125,12 +125,12 @@
 
     private Either<PlatformError, WatchResult> events(
             AggregatedHttpResponse response, EventsBody body) {
-        boolean whole =
+        boolean complete =
                 body.events() != null
                         && body.events().stream()
                                 .allMatch(
                                         e -> e.key() != null && (e.deleted() || e.value() != null));
-        return whole ? Either.right(body.result()) : Either.left(mConnection.rejected(response));
+        return complete ? Either.right(body.result()) : Either.left(mConnection.rejected(response));
     }
 
     private static HttpRequest read(String pathAndQuery) {
@@ -139,7 +139,8 @@
 
     private static String path(String key) {
         if (!KEY.matcher(key).matches()) {
-            throw new IllegalArgumentException("key '" + key + "' has a character of no key");
+            throw new IllegalArgumentException(
+                    "key '" + key + "' has a character other than letters, digits and . _ : / -");
         }
         return OBJECTS + "/" + key;
     }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/Listing.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/Listing.java
@@ -5,7 +5,7 @@
 /**
  * All objects under a prefix at one revision.
  *
- * @param revision the store's revision, from which a watch goes on without a gap
+ * @param revision the revision of the store, from which a watch can continue without a gap
  * @param objects the objects
  */
 public record Listing(long revision, List<StoredObject> objects) {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectBodies.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectBodies.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Bodies of the object API as they are in JSON, where any member may be missing. */
+/** JSON bodies of the object API; any member may be missing. */
 final class ObjectBodies {
 
     private ObjectBodies() {}
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectStore.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectStore.java
@@ -8,15 +8,15 @@
 /**
  * The platform's object API.
  *
- * <p>No method blocks, and no future completes exceptionally. Keys have letters, digits and {@code
- * . _ : - /}.
+ * <p>No method blocks, and no future completes exceptionally. Keys consist of letters, digits and
+ * {@code . _ : - /}.
  */
 public interface ObjectStore {
 
     /** Lists all objects whose key starts with {@code prefix}. */
     CompletableFuture<Either<PlatformError, Listing>> list(String prefix);
 
-    /** Reads one object; empty if there is none. */
+    /** Reads an object; empty if it does not exist. */
     CompletableFuture<Either<PlatformError, Optional<StoredObject>>> get(String key);
 
     /**
@@ -24,25 +24,25 @@
      *
      * @param key its key
      * @param value its new text, at most one megabyte
-     * @param precondition what must hold
+     * @param precondition the precondition
      */
     CompletableFuture<Either<PlatformError, WriteResult>> put(
             String key, String value, WritePrecondition precondition);
 
     /**
-     * Deletes an object if it is at a version.
+     * Deletes an object if its version matches.
      *
      * @param key its key
-     * @param version the version, above 0
+     * @param version the expected version, above 0
      */
     CompletableFuture<Either<PlatformError, WriteResult>> delete(String key, long version);
 
     /**
-     * Waits for events.
+     * Waits for changes of objects.
      *
-     * @param prefix start of the keys to watch
-     * @param afterRevision the last revision that the watcher has seen
-     * @param waitMillis longest wait for an event, in milliseconds
+     * @param prefix prefix of the keys to watch
+     * @param afterRevision the last revision that the caller has seen
+     * @param waitMillis maximum wait for an event, in milliseconds
      */
     CompletableFuture<Either<PlatformError, WatchResult>> watch(
             String prefix, long afterRevision, long waitMillis);
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/StoredObject.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/StoredObject.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.store.objects;
 
 /**
- * An object as the platform holds it.
+ * An object as stored by the platform.
  *
  * @param key its key
  * @param version the store-wide revision that wrote it, above 0
@@ -10,7 +10,8 @@
 public record StoredObject(String key, long version, String value) {
     public StoredObject {
         if (key == null || value == null) {
-            throw new IllegalArgumentException("stored object " + key + " lacks key or value");
+            throw new IllegalArgumentException(
+                    "stored object " + key + " must have a key and a value");
         }
         if (version <= 0) {
             throw new IllegalArgumentException(
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WatchResult.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WatchResult.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The platform's answer to a watch. */
+/** Result of a watch. */
 public sealed interface WatchResult {
 
     /**
-     * What happened after the asked revision.
+     * The changes after the requested revision.
      *
-     * @param revision where the next watch goes on
+     * @param revision the revision from which the next watch continues
      * @param events in order of their versions; empty if the wait ended without any
      */
     record Events(long revision, List<Event> events) implements WatchResult {
@@ -18,13 +18,13 @@
         }
     }
 
-    /** The asked revision is too old; list again. */
+    /** The requested revision has been compacted; list the objects again. */
     record Compacted() implements WatchResult {}
 
     /**
      * One write or deletion.
      *
-     * @param key which object
+     * @param key key of the object
      * @param version the revision of the write or deletion
      * @param value the new text; empty if it was deleted
      */
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WritePrecondition.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WritePrecondition.java
@@ -1,13 +1,13 @@
 package org.cyclamenpaddle.store.objects;
 
-/** What must hold at the platform for a write to be done. */
+/** Precondition of a write. */
 public sealed interface WritePrecondition {
 
     /** The object must not exist. */
     record Absent() implements WritePrecondition {}
 
     /**
-     * The object must exist in a version.
+     * The object must exist at a version.
      *
      * @param version the version, above 0
      */
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WriteResult.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/WriteResult.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** The platform's answer to a conditional write or deletion. */
+/** Result of a conditional write or deletion. */
 public sealed interface WriteResult {
 
     /**
-     * The write was done.
+     * The write took effect.
      *
      * @param version the revision of this write
      */
@@ -15,7 +15,7 @@
     /**
      * The precondition did not hold; nothing was written.
      *
-     * @param current the object as it stands; empty if there is none
+     * @param current the current object; empty if there is none
      */
     record Conflict(Optional<StoredObject> current) implements WriteResult {}
 }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/package-info.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/package-info.java
@@ -1,2 +1,5 @@
-/** Client of the object API: conditional writes, watches, and changes settled by read back. */
+/**
+ * Client of the object API: conditional writes, watches, and changes whose lost responses are
+ * resolved by reading back.
+ */
 package org.cyclamenpaddle.store.objects;
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/package-info.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the object API and the host list. */
+/** Client of the platform's object API and host list. */
 package org.cyclamenpaddle.store;
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/codec/ConfigurationCodecTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/codec/ConfigurationCodecTest.java
@@ -70,7 +70,7 @@
     private final ConfigurationCodec mCodec = new ConfigurationCodec();
 
     @Test
-    public void specsSurviveTheirDocuments() {
+    public void specsRoundTrip() {
         assertEquals(mCodec.service(mCodec.encode(CHANGE, MODEL)), Either.right(MODEL));
         assertEquals(mCodec.service(mCodec.encode(CHANGE, PLAIN)), Either.right(PLAIN));
         assertEquals(mCodec.backend(mCodec.encode(CHANGE, BACKEND)), Either.right(BACKEND));
@@ -83,7 +83,7 @@
     }
 
     @DataProvider
-    public Object[][] refusedBackends() {
+    public Object[][] invalidBackends() {
         String good = mCodec.encode(CHANGE, BACKEND);
         return new Object[][] {
             {good.replace("\"slots\"", "\"slotz\""), "slotz"},
@@ -108,25 +108,25 @@
         };
     }
 
-    @Test(dataProvider = "refusedBackends")
-    public void refusalNamesTheMember(String document, String named) {
+    @Test(dataProvider = "invalidBackends")
+    public void errorNamesTheMember(String document, String expectedText) {
         Either<String, BackendSpec> backend = mCodec.backend(document);
         assertTrue(backend.isLeft(), document);
         assertTrue(
                 backend.getLeft()
                         .toLowerCase(java.util.Locale.ROOT)
-                        .contains(named.toLowerCase(java.util.Locale.ROOT)),
+                        .contains(expectedText.toLowerCase(java.util.Locale.ROOT)),
                 backend.getLeft());
     }
 
     @Test
-    public void memberLeftOutHasItsDefault() {
+    public void omittedMemberHasItsDefault() {
         String document = mCodec.encode(CHANGE, BACKEND).replace(",\"leaving\":false", "");
         assertEquals(mCodec.backend(document), Either.right(BACKEND));
     }
 
     @Test
-    public void badObjectIsReportedAndTakesNoOtherOut() {
+    public void invalidObjectIsReportedAndOthersStayInForce() {
         ObjectKey presetKey = new ObjectKey(ObjectKind.PRESET, "peak");
         ObjectKey backendKey = new ObjectKey(ObjectKind.BACKEND, "runner-1");
         ObjectKey misnamed = new ObjectKey(ObjectKind.SERVICE, "other");
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/hosts/HttpHostListTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/hosts/HttpHostListTest.java
@@ -19,7 +19,7 @@
                     + "\"domain\":\"ahm\",\"state\":\"live\"}";
 
     @Test
-    public void readsLiveAndLeavingHostsAndLeavesOutMalformedOnes() {
+    public void readsLiveAndLeavingHostsAndSkipsMalformedOnes() {
         String leaving = LIVE.replace("ahm-1", "ahm-2").replace("\"live\"", "\"leaving\"");
         String malformed = LIVE.replace("ahm-1", "a host");
         assertEquals(
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void answerThatIsNoListIsRejected() {
+    public void responseThatIsNoListIsRejected() {
         assertTrue(read(HttpStatus.OK, "{}").isLeft());
         assertTrue(read(HttpStatus.OK, "{\"hosts\":[{\"state\":\"gone\"}]}").isLeft());
         assertTrue(read(HttpStatus.SERVICE_UNAVAILABLE, "{\"hosts\":[]}").isLeft());
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/ConditionalChangeTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/ConditionalChangeTest.java
@@ -23,24 +23,24 @@
 
     private static final long SEED = 20_261_205L;
     private static final int CHANGES = 20_000;
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final PresetSpec SPEC = new PresetSpec(new PresetName("peak"), "", List.of());
 
     private final ConfigurationCodec mCodec = new ConfigurationCodec();
 
     @Test
-    public void lostAnswerOfChangeThatTookEffectIsSettledByReadBack() {
-        // The operator would be told that another change won, though it is their own. The write
-        // takes effect, its answer is lost, the next try meets a conflict, and the change id in the
-        // object that stands says whose it is.
-        FaultyStore store = store(Fault.ANSWER_LOST, Fault.NONE);
+    public void lostResponseOfAppliedChangeIsResolvedByChangeId() {
+        // A write takes effect, its response is lost, and the retry conflicts with it. The change
+        // id in the current object must resolve this, or the operator would see a conflict with
+        // their own change.
+        FaultyStore store = store(Fault.RESPONSE_LOST, Fault.NONE);
         assertEquals(create(store, "mine"), accepted(11));
         assertEquals(store.history().size(), 1);
     }
 
     @Test
-    public void lostDeletionIsSettledByAbsence() {
-        FaultyStore store = store(Fault.NONE, Fault.ANSWER_LOST, Fault.NONE);
+    public void lostResponseOfDeletionIsResolvedByAbsence() {
+        FaultyStore store = store(Fault.NONE, Fault.RESPONSE_LOST, Fault.NONE);
         create(store, "mine");
         assertEquals(
                 change(store).delete(FaultyStore.KEY, 11).join(),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void loserIsToldTheWinner() {
+    public void conflictReportsTheStoredObject() {
         FaultyStore store = store(Fault.NONE, Fault.NONE);
         create(store, "theirs");
         assertEquals(
@@ -57,52 +57,56 @@
     }
 
     @Test
-    public void changeThatIsNeverSettledTellsThatItMayStand() {
+    public void unresolvedChangeReportsThatItMayHaveTakenEffect() {
         FaultyStore store =
-                store(Fault.ANSWER_LOST, Fault.NOT_CONNECTED, Fault.NOT_CONNECTED, Fault.NONE);
+                store(Fault.RESPONSE_LOST, Fault.NOT_CONNECTED, Fault.NOT_CONNECTED, Fault.NONE);
         assertTrue(create(store, "mine").getLeft().mayHaveTakenEffect());
-        assertEquals(store.writes(), TRIES);
+        assertEquals(store.writes(), MAX_ATTEMPTS);
         assertFalse(
                 create(store(Fault.NOT_CONNECTED, Fault.NOT_CONNECTED, Fault.NOT_CONNECTED), "x")
                         .getLeft()
                         .mayHaveTakenEffect());
-        FaultyStore refusing = store(Fault.REFUSED);
-        assertFalse(create(refusing, "mine").getLeft().mayHaveTakenEffect());
-        assertEquals(refusing.writes(), 1);
+        FaultyStore rejecting = store(Fault.REJECTED);
+        assertFalse(create(rejecting, "mine").getLeft().mayHaveTakenEffect());
+        assertEquals(rejecting.writes(), 1);
     }
 
     @Test
-    public void whatIsToldOfChangesIsTrueUnderAnyFaults() {
-        // Operators race while answers and asks are lost at random. What each is told must agree
-        // with what the store did: accepted was written, and a plain loser never was.
+    public void reportedOutcomesMatchTheStoreUnderRandomFaults() {
+        // Operators race while requests and responses are lost at random. Each reported outcome
+        // must match the store: an accepted change was written, and a change with a conflict was
+        // not.
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         FaultyStore store =
                 new FaultyStore(() -> Fault.values()[random.nextInt(Fault.values().length)]);
         int accepted = 0;
         for (int i = 0; i < CHANGES; i++) {
             ChangeId id = new ChangeId("change-" + i);
-            long seen = store.current().map(StoredObject::version).orElse(0L);
-            // Some operators saw an older version than the one that stands.
-            long from = random.nextInt(4) == 0 ? Math.max(0, seen - 1) : seen;
+            long currentVersion = store.current().map(StoredObject::version).orElse(0L);
+            // Some operators saw an older version than the current one.
+            long expectedVersion =
+                    random.nextInt(4) == 0 ? Math.max(0, currentVersion - 1) : currentVersion;
             WritePrecondition precondition =
-                    from == 0 ? WritePrecondition.absent() : WritePrecondition.atVersion(from);
+                    expectedVersion == 0
+                            ? WritePrecondition.absent()
+                            : WritePrecondition.atVersion(expectedVersion);
             int before = store.history().size();
-            Either<PlatformError, ChangeResult> told =
+            Either<PlatformError, ChangeResult> reported =
                     change(store).put(FaultyStore.KEY, id, SPEC, precondition).join();
             int written = store.history().size() - before;
             assertTrue(written <= 1, id + " was written " + written + " times");
-            accepted += checkTold(store, told, written) ? 1 : 0;
+            accepted += checkReported(store, reported, written) ? 1 : 0;
         }
         assertTrue(accepted > 0 && accepted < CHANGES, accepted + " accepted");
     }
 
-    private static boolean checkTold(
-            FaultyStore store, Either<PlatformError, ChangeResult> told, int written) {
-        if (told.isLeft()) {
-            assertTrue(written == 0 || told.getLeft().mayHaveTakenEffect());
+    private static boolean checkReported(
+            FaultyStore store, Either<PlatformError, ChangeResult> reported, int written) {
+        if (reported.isLeft()) {
+            assertTrue(written == 0 || reported.getLeft().mayHaveTakenEffect());
             return false;
         }
-        if (told.get() instanceof ChangeResult.Accepted accepted) {
+        if (reported.get() instanceof ChangeResult.Accepted accepted) {
             assertEquals(written, 1);
             assertEquals(accepted.version().getAsLong(), store.current().orElseThrow().version());
             return true;
@@ -118,7 +122,7 @@
     }
 
     private ConditionalChange change(FaultyStore store) {
-        return new ConditionalChange(store, mCodec, TRIES, 0);
+        return new ConditionalChange(store, mCodec, MAX_ATTEMPTS, 0);
     }
 
     private static Either<PlatformError, ChangeResult> accepted(long version) {
@@ -126,7 +130,7 @@
     }
 
     private static FaultyStore store(Fault... faults) {
-        Queue<Fault> left = new ArrayDeque<>(List.of(faults));
-        return new FaultyStore(left::remove);
+        Queue<Fault> remaining = new ArrayDeque<>(List.of(faults));
+        return new FaultyStore(remaining::remove);
     }
 }
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/FakePlatform.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/FakePlatform.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
 
-/** HTTP server that answers by a script and keeps what it was asked. */
+/** HTTP server that responds by a script and records its requests. */
 public final class FakePlatform implements AutoCloseable {
 
     private final Server mServer;
@@ -22,7 +22,7 @@
         mServer =
                 Server.builder()
                         .http(new InetSocketAddress("127.0.0.1", 0))
-                        .serviceUnder("/", (context, request) -> answer(context, request, script))
+                        .serviceUnder("/", (context, request) -> respond(context, request, script))
                         .build();
         mServer.start().join();
     }
@@ -39,22 +39,24 @@
         return mRequests.remove();
     }
 
-    /** Starts the stop and does not wait for it: Armeria takes two seconds to stop its threads. */
+    /**
+     * Initiates the stop without waiting for it, as Armeria takes two seconds to stop its threads.
+     */
     @Override
     public void close() {
         mServer.stop();
     }
 
-    private HttpResponse answer(
+    private HttpResponse respond(
             ServiceRequestContext context,
             HttpRequest request,
             Function<AggregatedHttpRequest, HttpResponse> script) {
         return HttpResponse.of(
                 request.aggregate()
                         .thenApply(
-                                whole -> {
-                                    mRequests.add(whole);
-                                    return script.apply(whole);
+                                aggregated -> {
+                                    mRequests.add(aggregated);
+                                    return script.apply(aggregated);
                                 }));
     }
 }
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/FaultyStore.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/FaultyStore.java
@@ -8,22 +8,24 @@
 import java.util.function.Supplier;
 import org.cyclamenpaddle.store.http.PlatformError;
 
-/** Store of one object in memory whose writes meet the faults that a test names. */
+/** In-memory store of one object that injects faults into its writes. */
 final class FaultyStore implements ObjectStore {
 
     static final String KEY = "config/preset/peak";
 
-    /** What happens to a write. */
+    /** Fault of a write. */
     enum Fault {
         NONE,
-        /** It takes effect, and its answer is lost. */
-        ANSWER_LOST,
-        /** It is lost under way, which its sender can't know. */
-        ASK_LOST,
-        /** No connection comes about. */
+        /** The write takes effect, and its response is lost. */
+        RESPONSE_LOST,
+        /**
+         * The request is lost in flight, which the sender can't distinguish from a lost response.
+         */
+        REQUEST_LOST,
+        /** No connection is established. */
         NOT_CONNECTED,
-        /** The platform refuses it as malformed. */
-        REFUSED
+        /** The platform rejects the write as malformed. */
+        REJECTED
     }
 
     private final Supplier<Fault> mFaults;
@@ -39,11 +41,11 @@
     @Override
     public CompletableFuture<Either<PlatformError, WriteResult>> put(
             String key, String value, WritePrecondition precondition) {
-        boolean holds =
+        boolean satisfied =
                 precondition instanceof WritePrecondition.AtVersion at
                         ? at(at.version())
                         : mCurrent.isEmpty();
-        return write(holds, () -> Optional.of(new StoredObject(KEY, mRevision, value)));
+        return write(satisfied, () -> Optional.of(new StoredObject(KEY, mRevision, value)));
     }
 
     @Override
@@ -71,7 +73,7 @@
         return mCurrent;
     }
 
-    /** Every object that was ever written, oldest first. */
+    /** Every object ever written, oldest first. */
     List<StoredObject> history() {
         return mHistory;
     }
@@ -85,25 +87,25 @@
     }
 
     private CompletableFuture<Either<PlatformError, WriteResult>> write(
-            boolean holds, Supplier<Optional<StoredObject>> next) {
+            boolean satisfied, Supplier<Optional<StoredObject>> next) {
         mWrites++;
         Fault fault = mFaults.get();
         WriteResult result = new WriteResult.Conflict(mCurrent);
-        if (holds && (fault == Fault.NONE || fault == Fault.ANSWER_LOST)) {
+        if (satisfied && (fault == Fault.NONE || fault == Fault.RESPONSE_LOST)) {
             mRevision++;
             mCurrent = next.get();
             mCurrent.ifPresent(mHistory::add);
             result = new WriteResult.Written(mRevision);
         }
-        return CompletableFuture.completedFuture(answer(fault, result));
+        return CompletableFuture.completedFuture(toResponse(fault, result));
     }
 
-    private static Either<PlatformError, WriteResult> answer(Fault fault, WriteResult result) {
+    private static Either<PlatformError, WriteResult> toResponse(Fault fault, WriteResult result) {
         return switch (fault) {
             case NONE -> Either.right(result);
-            case ANSWER_LOST, ASK_LOST -> Either.left(new PlatformError.TimedOut(1));
+            case RESPONSE_LOST, REQUEST_LOST -> Either.left(new PlatformError.TimedOut(1));
             case NOT_CONNECTED -> Either.left(new PlatformError.Unreachable("refused", false));
-            case REFUSED -> Either.left(new PlatformError.Rejected(400, "no"));
+            case REJECTED -> Either.left(new PlatformError.Rejected(400, "no"));
         };
     }
 }
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/HttpObjectStoreTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/HttpObjectStoreTest.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void conflictBringsTheWinnerOrNone() throws Exception {
+    public void conflictReturnsTheCurrentObjectOrNone() throws Exception {
         Function<AggregatedHttpRequest, HttpResponse> script =
                 request ->
                         json(
@@ -101,7 +101,7 @@
     }
 
     @Test
-    public void watchBringsEventsOrTellsThatTheRevisionIsTooOld() throws Exception {
+    public void watchReturnsEventsOrCompacted() throws Exception {
         String body =
                 "{\"revision\":12,\"events\":["
                         + "{\"key\":\"a\",\"version\":11,\"deleted\":false,\"value\":\"x\"},"
@@ -128,7 +128,7 @@
     }
 
     @Test
-    public void errorsTellWhetherTheWriteMayHaveTakenEffect() throws Exception {
+    public void errorsReportWhetherTheWriteMayHaveTakenEffect() throws Exception {
         assertFalse(writeError(json(HttpStatus.BAD_REQUEST, "{}")).mayHaveTakenEffect());
         assertTrue(writeError(json(HttpStatus.SERVICE_UNAVAILABLE, "")).mayHaveTakenEffect());
         assertTrue(writeError(json(HttpStatus.OK, "{\"version\":")).mayHaveTakenEffect());
@@ -139,7 +139,7 @@
     }
 
     @Test
-    public void unreachablePlatformTookNoEffect() throws Exception {
+    public void writeToUnreachablePlatformHasNoEffect() throws Exception {
         int port;
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
@@ -152,18 +152,18 @@
     }
 
     @Test
-    public void platformThatHangsUpMayHaveTakenTheWrite() throws Exception {
-        // A claim would be told as not made though it stands. The platform reads the write and its
-        // connection breaks before the answer.
+    public void writeMayHaveTakenEffectIfConnectionCloses() throws Exception {
+        // The platform reads a write, and the connection is lost before the response. Reporting
+        // that it had no effect would deny a claim that exists.
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 HttpObjectStore store =
                         new HttpObjectStore("127.0.0.1", socket.getLocalPort(), TIMEOUT_MILLIS)) {
-            CompletableFuture<Either<PlatformError, WriteResult>> answer =
+            CompletableFuture<Either<PlatformError, WriteResult>> result =
                     store.put(KEY, "v", WritePrecondition.absent());
             try (Socket connection = socket.accept()) {
                 connection.getInputStream().read();
             }
-            PlatformError error = await(answer).getLeft();
+            PlatformError error = await(result).getLeft();
             assertTrue(error instanceof PlatformError.Unreachable, error.toString());
             assertTrue(error.mayHaveTakenEffect());
         }
