--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
@@ -9,26 +9,28 @@
 import org.cyclamenpaddle.http.CleartextClients;
 
 /**
- * Makes HTTP clients of backend servers: for calls, and for reading what they report.
+ * Creates HTTP clients of backend servers, with single-use or keep-alive connections.
  *
- * <p>Calls open a connection each. An open connection can go silent for good while new ones work,
- * and a server may close a kept one while a call is written to it, after which nobody can tell
- * whether the call ran. A connection that carries one call only has neither fault: a failed connect
- * proves that nothing left, and a retry always meets a new connection. It costs one round trip,
- * about 3 ms at worst between failure domains.
+ * <p>Calls open a new connection each. An open connection can go silent while new ones work, and a
+ * server may close a keep-alive connection while a call is written to it, which leaves unknown
+ * whether the call ran. A single-use connection has neither fault: a failed connection attempt
+ * proves that nothing was sent, and a retry always uses a new connection. It costs one round trip,
+ * at most about 3 ms between failure domains.
  *
- * <p>Reports are read again and again, so that new connections would cost more processor time than
- * the reading. They are read over kept connections, and once more over a new one if that fails. The
- * same goes for calls that may be repeated, and for one that follows an answer over the same
- * connection within a second: where new connections have a price, they are two thirds of all.
+ * <p>Reports are read so often that new connections would cost more CPU time than the reads
+ * themselves. They are read over keep-alive connections, and retried over a new one if that fails.
+ * The same applies to calls that may be repeated, and to a call that follows a response over the
+ * same connection within a second: where new connections are costly, such calls are two thirds of
+ * all.
  *
- * <p>All is HTTP/1.1: an upgrade to HTTP/2 would put a second exchange before a call, and a kept
- * connection on which an answer times out is closed by the library rather than shared further.
+ * <p>All connections use HTTP/1.1: an upgrade to HTTP/2 would add a round trip before a call, and a
+ * keep-alive connection on which a response times out is closed by the library instead of being
+ * reused.
  */
 public final class BackendConnections implements AutoCloseable {
 
     private static final long CONNECT_TIMEOUT_MILLIS = 300;
-    private static final long KEPT_IDLE_MILLIS = 10_000;
+    private static final long KEEP_ALIVE_IDLE_MILLIS = 10_000;
     private static final long MAX_RESPONSE_BYTES = 16L << 20;
 
     private final ClientFactory mSingleUse =
@@ -38,15 +40,15 @@
                     .option(ClientFactoryOptions.CHANNEL_PIPELINE_CUSTOMIZER, ResetWatch::watch)
                     .build();
 
-    private final ClientFactory mKept =
+    private final ClientFactory mKeepAlive =
             CleartextClients.factory()
                     .connectTimeoutMillis(CONNECT_TIMEOUT_MILLIS)
-                    .idleTimeoutMillis(KEPT_IDLE_MILLIS)
+                    .idleTimeoutMillis(KEEP_ALIVE_IDLE_MILLIS)
                     .option(ClientFactoryOptions.CHANNEL_PIPELINE_CUSTOMIZER, ResetWatch::watch)
                     .build();
 
     /**
-     * Returns a client that opens a connection for each call.
+     * Returns a client that opens a new connection for each call.
      *
      * @param backend the backend server; calls have no timeout unless they set one
      */
@@ -55,9 +57,9 @@
     }
 
     /**
-     * Returns a client that opens a connection for each call.
+     * Returns a client that opens a new connection for each call.
      *
-     * @param address IP number of the backend server; calls have no timeout unless they set one
+     * @param address IP address of the backend server; calls have no timeout unless they set one
      * @param port its TCP port
      */
     public WebClient client(String address, int port) {
@@ -65,7 +67,7 @@
     }
 
     /**
-     * Returns a client that keeps connections, for reads that may be repeated.
+     * Returns a client with keep-alive connections, for reads that may be repeated.
      *
      * @param backend the backend server; reads have no timeout unless they set one
      */
@@ -74,30 +76,30 @@
     }
 
     /**
-     * Returns a client that keeps connections, for calls that may be repeated.
+     * Returns a client with keep-alive connections, for calls that may be repeated.
      *
-     * @param address IP number of the backend server; calls have no timeout unless they set one
+     * @param address IP address of the backend server; calls have no timeout unless they set one
      * @param port its TCP port
      */
     public WebClient keepAliveClient(String address, int port) {
-        return client(address, port, mKept);
+        return client(address, port, mKeepAlive);
     }
 
     /**
-     * Returns a client of either kind.
+     * Returns a client with keep-alive or single-use connections.
      *
-     * @param address IP number of the backend server; calls have no timeout unless they set one
+     * @param address IP address of the backend server; calls have no timeout unless they set one
      * @param port its TCP port
-     * @param kept whether it keeps connections
+     * @param keepAlive whether it uses keep-alive connections
      */
-    public WebClient client(String address, int port, boolean kept) {
-        return kept ? keepAliveClient(address, port) : client(address, port);
+    public WebClient client(String address, int port, boolean keepAlive) {
+        return keepAlive ? keepAliveClient(address, port) : client(address, port);
     }
 
     @Override
     public void close() {
         mSingleUse.close();
-        mKept.close();
+        mKeepAlive.close();
     }
 
     private static WebClient client(String address, int port, ClientFactory factory) {
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/CallFailure.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/CallFailure.java
@@ -5,23 +5,24 @@
 import com.linecorp.armeria.client.UnprocessedRequestException;
 import java.util.concurrent.CompletionException;
 
-/** How far a call without an answer came. */
+/** Why a call got no response, and whether it may have run. */
 public enum CallFailure {
-    /** No connection came about, so that provably no byte of the call left. */
+    /** No connection was established, so provably no byte of the call was sent. */
     NOT_CONNECTED,
-    /** The time for the answer passed; the call may have run. */
+    /** The response timed out; the call may have run. */
     TIMED_OUT,
-    /** The connection broke; the call may have run. */
+    /** The connection was lost; the call may have run. */
     BROKEN;
 
     /**
      * Classifies a failure.
      *
-     * <p>Two things must agree for {@link #NOT_CONNECTED}: the HTTP library says that the call was
-     * not processed, and its log of the call names no connection. All else counts as maybe run.
+     * <p>Two conditions must hold for {@link #NOT_CONNECTED}: the HTTP library reports that the
+     * call was not processed, and its log of the call has no connection. In all other cases the
+     * call may have run.
      *
      * @param context the call
-     * @param failure why it has no answer
+     * @param failure why it has no response
      */
     public static CallFailure of(ClientRequestContext context, Throwable failure) {
         Throwable cause = cause(failure);
@@ -32,7 +33,7 @@
         return cause instanceof ResponseTimeoutException ? TIMED_OUT : BROKEN;
     }
 
-    /** Returns the failure without the wrapping that futures add. */
+    /** Returns the failure without the wrapper that a future adds. */
     public static Throwable cause(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null
                 ? failure.getCause()
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/ResetWatch.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/ResetWatch.java
@@ -8,11 +8,12 @@
 import io.netty.util.AttributeKey;
 
 /**
- * Remembers of each connection whether it broke instead of being closed.
+ * Channel handler that records whether a connection was reset instead of closed.
  *
- * <p>Safeguard: an answer without a length ends with its connection, and the HTTP library takes any
- * end for that one. A server that crashes in the middle resets its connections; the caller would be
- * given half an answer as a whole one. Only an orderly close completes such an answer.
+ * <p>A response without a content length ends with its connection, and the HTTP library accepts any
+ * end of the connection as the end of the response. A server that crashes within a response resets
+ * its connections, and the caller would get a truncated response as a complete one. Only an orderly
+ * close completes such a response.
  */
 public final class ResetWatch extends ChannelInboundHandlerAdapter {
 
@@ -25,7 +26,7 @@
         pipeline.addFirst(new ResetWatch());
     }
 
-    /** Returns whether the connection of a call has broken. */
+    /** Returns whether the connection of a call was reset or failed otherwise. */
     public static boolean broken(ClientRequestContext context) {
         Channel channel = context.log().partial().channel();
         return channel != null && Boolean.TRUE.equals(channel.attr(BROKEN).get());
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/package-info.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP to backend servers, each call over a connection of its own. */
+/** HTTP connections to backend servers, single-use for calls and keep-alive for reads. */
 package org.cyclamenpaddle.engine.http;
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/CacheEvents.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/CacheEvents.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Changes of an engine's prefix cache; late and with gaps.
+ * Changes of an engine's prefix cache, reported with a delay and with gaps.
  *
- * @param lastSequence where the next question goes on
- * @param events in order of their sequence
+ * @param lastSequence the sequence number from which the next request continues
+ * @param events in ascending order of their sequence numbers
  */
 public record CacheEvents(long lastSequence, List<CacheEvent> events) {
     public CacheEvents {
@@ -14,9 +14,9 @@
     }
 
     /**
-     * One change.
+     * A stored or evicted block.
      *
-     * @param sequence its number, with gaps where events were lost
+     * @param sequence its sequence number; a gap means that events were lost
      * @param stored true if the block was stored, false if it was evicted
      * @param hash hash of the block, as of {@code PromptText.blockHashes}
      */
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeCall.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeCall.java
@@ -3,14 +3,14 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * Asks an engine to import KV cache and generate tokens.
+ * A request to an engine to import KV cache and generate tokens.
  *
- * @param attempt identity of the try
+ * @param attempt identity of the attempt
  * @param source where the KV cache is
  * @param firstIndex index of the first token to generate, not negative
- * @param maxTokens index after the last token to generate at most
- * @param priority greater goes first
- * @param transferMillis longest time for the transfer, in milliseconds
+ * @param maxTokens upper bound of the token index, exclusive
+ * @param priority priority; greater values first
+ * @param transferMillis timeout of the transfer, in milliseconds
  */
 public record DecodeCall(
         AttemptId attempt,
@@ -21,10 +21,11 @@
         long transferMillis) {
     public DecodeCall {
         if (attempt == null || source == null) {
-            throw new IllegalArgumentException("decode call lacks attempt or source");
+            throw new IllegalArgumentException("decode call must have an attempt and a source");
         }
         if (firstIndex < 0) {
-            throw new IllegalArgumentException("first index " + firstIndex + " is negative");
+            throw new IllegalArgumentException(
+                    "first index " + firstIndex + " must not be negative");
         }
     }
 }
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeStream.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeStream.java
@@ -15,7 +15,7 @@
 import org.reactivestreams.Subscriber;
 import org.reactivestreams.Subscription;
 
-/** Reads one decode stream and hands its events to the listener. */
+/** Reads one decode stream and passes its events to a listener. */
 final class DecodeStream implements Subscriber<HttpObject>, StreamHandle {
 
     private static final int MAX_LINE_BYTES = 64 << 10;
@@ -26,7 +26,7 @@
     private final HttpResponse mResponse;
     private final LineSplitter mLines = new LineSplitter(MAX_LINE_BYTES);
     private final ByteArrayOutputStream mErrorBody = new ByteArrayOutputStream();
-    private final AtomicBoolean mOver = new AtomicBoolean();
+    private final AtomicBoolean mFinished = new AtomicBoolean();
     private Subscription mSubscription;
     private int mStatus;
 
@@ -47,7 +47,7 @@
 
     @Override
     public void close() {
-        if (mOver.compareAndSet(false, true)) {
+        if (mFinished.compareAndSet(false, true)) {
             mResponse.abort();
         }
     }
@@ -60,15 +60,15 @@
 
     @Override
     public void onNext(HttpObject object) {
-        if (mOver.get()) {
+        if (mFinished.get()) {
             return;
         }
         if (object instanceof ResponseHeaders headers) {
             mStatus = headers.status().code();
         } else if (object instanceof HttpData data) {
-            take(data.array());
+            onBody(data.array());
         } else if (!(object instanceof HttpHeaders)) {
-            throw new IllegalStateException("unknown part of a response: " + object);
+            throw new IllegalStateException("unexpected part of a response: " + object);
         }
         mSubscription.request(1);
     }
@@ -81,19 +81,19 @@
     @Override
     public void onComplete() {
         if (mStatus == HttpStatus.OK.code()) {
-            // Failure: an engine that dies may close its connection cleanly in the middle of the
-            // stream, and the caller would take a cut answer for a whole one. Only the engine's
-            // end event makes an answer whole, so the mere end of the body is a broken stream.
+            // An engine that crashes may close its connection cleanly within a stream, and the
+            // caller would take a truncated response for a complete one. Only the engine's end
+            // event completes a response, so a body that ends without it is a broken stream.
             finish(() -> mListener.onBroken(new EngineFailure.Unreachable(true)));
         } else {
             EngineFailure failure = mJson.failure(mStatus, mErrorBody.toString(UTF_8));
-            finish(() -> refused(failure));
+            finish(() -> onErrorResponse(failure));
         }
     }
 
-    // An answer that is not of the protocol, such as a 500, proves nothing about what the engine
-    // holds, so the attempt counts as one that may go on.
-    private void refused(EngineFailure failure) {
+    // A response that is not part of the protocol, such as a 500, does not tell what the engine
+    // holds, so the attempt is treated as one that may still be running.
+    private void onErrorResponse(EngineFailure failure) {
         if (failure instanceof EngineFailure.Protocol) {
             mListener.onBroken(failure);
         } else {
@@ -101,13 +101,13 @@
         }
     }
 
-    private void take(byte[] bytes) {
+    private void onBody(byte[] bytes) {
         if (mStatus != HttpStatus.OK.code()) {
-            keepErrorBody(bytes);
+            appendErrorBody(bytes);
             return;
         }
         for (String line : mLines.feed(bytes)) {
-            if (mOver.get()) {
+            if (mFinished.get()) {
                 return;
             }
             deliver(line);
@@ -132,12 +132,12 @@
     }
 
     private void finish(Runnable lastCallback) {
-        if (mOver.compareAndSet(false, true)) {
+        if (mFinished.compareAndSet(false, true)) {
             lastCallback.run();
         }
     }
 
-    private void keepErrorBody(byte[] bytes) {
+    private void appendErrorBody(byte[] bytes) {
         if (mErrorBody.size() + bytes.length <= MAX_LINE_BYTES) {
             mErrorBody.write(bytes, 0, bytes.length);
         }
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineAttempt.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineAttempt.java
@@ -3,12 +3,12 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * An attempt as an engine lists it.
+ * An attempt as reported by an engine.
  *
  * @param attempt its identity
- * @param role what the engine does for it, as the engine names it
- * @param pieces memory pieces that it holds
- * @param nextIndex index of the next token
+ * @param role role of the engine for the attempt, in the engine's terms
+ * @param pieces number of KV cache blocks that it holds
+ * @param nextIndex index of the next token to generate
  * @param ended whether it has ended
  */
 public record EngineAttempt(
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineBodies.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineBodies.java
@@ -9,17 +9,17 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 import org.cyclamenpaddle.core.id.ServiceName;
 
-/** Bodies of the engine protocol as they are in JSON, before their checks. */
+/** JSON bodies of the engine protocol, before validation. */
 final class EngineBodies {
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private EngineBodies() {}
 
-    record PrefillAsk(
+    record PrefillRequest(
             String attempt, String prompt, List<String> prior, int priority, long timeoutMillis) {
-        static PrefillAsk of(PrefillCall call) {
-            return new PrefillAsk(
+        static PrefillRequest of(PrefillCall call) {
+            return new PrefillRequest(
                     call.attempt().value(),
                     call.prompt(),
                     call.prior(),
@@ -28,7 +28,7 @@
         }
     }
 
-    record PrefillAnswer(
+    record PrefillResponse(
             String attempt, int tokens, int cachedTokens, int pieces, long resultMillis) {
         Either<EngineFailure, PrefillResult> result() {
             return checked(
@@ -42,20 +42,20 @@
         }
     }
 
-    record SourceAsk(String address, int port, String attempt) {}
+    record DecodeSource(String address, int port, String attempt) {}
 
-    record DecodeAsk(
+    record DecodeRequest(
             String attempt,
-            SourceAsk source,
+            DecodeSource source,
             int firstIndex,
             int maxTokens,
             int priority,
             long transferMillis) {
-        static DecodeAsk of(DecodeCall call) {
+        static DecodeRequest of(DecodeCall call) {
             PrefillSource source = call.source();
-            return new DecodeAsk(
+            return new DecodeRequest(
                     call.attempt().value(),
-                    new SourceAsk(source.address(), source.port(), source.attempt().value()),
+                    new DecodeSource(source.address(), source.port(), source.attempt().value()),
                     call.firstIndex(),
                     call.maxTokens(),
                     call.priority(),
@@ -63,27 +63,27 @@
         }
     }
 
-    record CancelAnswer(Integer heldPieces) {
+    record CancelResponse(Integer heldPieces) {
         boolean confirms() {
             return heldPieces != null && heldPieces == 0;
         }
     }
 
-    record AttemptsAnswer(List<AttemptAnswer> attempts) {
+    record AttemptsResponse(List<AttemptEntry> attempts) {
         Either<EngineFailure, List<EngineAttempt>> result() {
             return checked(
                     () ->
                             attempts.stream()
-                                    .map(AttemptAnswer::typed)
+                                    .map(AttemptEntry::typed)
                                     .flatMap(Optional::stream)
                                     .toList());
         }
     }
 
-    record AttemptAnswer(String attempt, String role, int pieces, int nextIndex, boolean ended) {
-        // Failure: an attempt of another client bears an id that none of this system can have, and
-        // hides every other one from the owner, which could free no memory any more. So it is left
-        // out; it could not be cancelled by that id anyway.
+    record AttemptEntry(String attempt, String role, int pieces, int nextIndex, boolean ended) {
+        // An attempt of another client may have an id that is invalid in this system. Failing on it
+        // would hide all other attempts from the owner, which could then free no memory. So it is
+        // skipped; it could not be cancelled by that id anyway.
         private Optional<EngineAttempt> typed() {
             try {
                 return Optional.of(
@@ -94,23 +94,25 @@
         }
     }
 
-    record CacheEventsAnswer(long lastSequence, List<CacheEventAnswer> events) {
+    record CacheEventsResponse(long lastSequence, List<CacheEventEntry> events) {
         Either<EngineFailure, CacheEvents> result() {
             return checked(
                     () ->
                             new CacheEvents(
                                     lastSequence,
-                                    events.stream().map(CacheEventAnswer::typed).toList()));
+                                    events.stream().map(CacheEventEntry::typed).toList()));
         }
     }
 
-    record CacheEventAnswer(long sequence, CacheEventKind kind, String hash) {
+    record CacheEventEntry(long sequence, CacheEventKind kind, String hash) {
         private CacheEvents.CacheEvent typed() {
             if (kind == null) {
-                throw new IllegalArgumentException("cache event " + sequence + " lacks a kind");
+                throw new IllegalArgumentException("cache event " + sequence + " must have a kind");
             }
             return new CacheEvents.CacheEvent(
-                    sequence, kind == CacheEventKind.STORED, Long.parseUnsignedLong(hash, HEX));
+                    sequence,
+                    kind == CacheEventKind.STORED,
+                    Long.parseUnsignedLong(hash, HEX_RADIX));
         }
     }
 
@@ -121,9 +123,9 @@
         EVICTED
     }
 
-    record OrderAsk(long fence, String service, String model, String role, long timeoutMillis) {
-        static OrderAsk of(EngineOrder order) {
-            return new OrderAsk(
+    record OrderRequest(long fence, String service, String model, String role, long timeoutMillis) {
+        static OrderRequest of(EngineOrder order) {
+            return new OrderRequest(
                     order.fence(),
                     order.service().value(),
                     order.model(),
@@ -132,7 +134,7 @@
         }
     }
 
-    record StateAnswer(
+    record StateResponse(
             String service,
             String model,
             String role,
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineFailure.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineFailure.java
@@ -1,18 +1,18 @@
 package org.cyclamenpaddle.engine.model;
 
-/** Why an engine call did not succeed. */
+/** Why an engine call failed. */
 public sealed interface EngineFailure {
 
-    /** The engine refused: it has no room. */
+    /** The engine rejected the call because it has no free capacity. */
     record Full() implements EngineFailure {}
 
-    /** The attempt was cancelled, perhaps before it came. */
+    /** The attempt was cancelled, possibly before it arrived. */
     record Cancelled() implements EngineFailure {}
 
-    /** The engine has this attempt already. */
+    /** The engine already has this attempt. */
     record Exists() implements EngineFailure {}
 
-    /** The prefill result was evicted before its transfer ended. */
+    /** The prefill result was evicted before its transfer completed. */
     record Evicted() implements EngineFailure {}
 
     /** The transfer from the prefill engine stalled. */
@@ -22,26 +22,26 @@
     record UnknownAttempt() implements EngineFailure {}
 
     /**
-     * The engine refused an order with an old fencing number.
+     * The engine rejected an order with a stale fencing token.
      *
-     * @param fence the number it holds
+     * @param fence the fencing token that it holds
      */
     record StaleFence(long fence) implements EngineFailure {}
 
     /**
-     * The engine could not be reached, or the connection broke.
+     * The engine could not be reached, or the connection was lost.
      *
-     * @param connected false if provably no byte of the call left
+     * @param connected false if provably no byte of the call was sent
      */
     record Unreachable(boolean connected) implements EngineFailure {}
 
-    /** No whole answer came in time; the engine may have done the work. */
+    /** No complete response came in time; the engine may have executed the call. */
     record TimedOut() implements EngineFailure {}
 
     /**
-     * The engine answered, but not by the protocol.
+     * The engine's response is not part of the protocol.
      *
-     * @param message what was wrong
+     * @param message description of the violation
      */
     record Protocol(String message) implements EngineFailure {}
 }
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineJson.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineJson.java
@@ -9,7 +9,7 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** JSON of the engine protocol; unknown members are ignored, wrong types are refused. */
+/** JSON mapping of the engine protocol; ignores unknown members and rejects wrong types. */
 final class EngineJson {
 
     private static final int CONFLICT = 409;
@@ -30,7 +30,8 @@
         try {
             return mMapper.writeValueAsString(value);
         } catch (JsonProcessingException impossible) {
-            throw new IllegalArgumentException("no JSON for " + value, impossible);
+            throw new IllegalArgumentException(
+                    "expected a value that can be encoded as JSON, got " + value, impossible);
         }
     }
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Returns the failure that an answer with an error status stands for. */
+    /** Returns the failure of a response with an error status. */
     EngineFailure failure(AggregatedHttpResponse response) {
         return failure(response.status().code(), response.contentUtf8());
     }
@@ -60,7 +61,7 @@
                 : new EngineFailure.Protocol("status " + status + ": " + body);
     }
 
-    /** Returns the failure that a {@code failed} event stands for. */
+    /** Returns the failure of a {@code failed} event. */
     static EngineFailure failedEvent(String reason) {
         return switch (String.valueOf(reason)) {
             case "evicted" -> new EngineFailure.Evicted();
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineLoad.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineLoad.java
@@ -1,12 +1,12 @@
 package org.cyclamenpaddle.engine.model;
 
 /**
- * Load as an engine reports it, with a lag.
+ * Load as reported by an engine, with a lag.
  *
- * @param slots decode slots
- * @param slotsUsed those in use
- * @param pieces memory pieces
- * @param piecesUsed those in use
- * @param queuedTokens tokens that wait for prefill
+ * @param slots number of decode slots
+ * @param slotsUsed number of decode slots in use
+ * @param pieces number of KV cache blocks
+ * @param piecesUsed number of KV cache blocks in use
+ * @param queuedTokens number of tokens that wait for prefill
  */
 public record EngineLoad(int slots, int slotsUsed, int pieces, int piecesUsed, long queuedTokens) {}
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineState.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineState.java
@@ -10,9 +10,9 @@
  * @param service the service, if any
  * @param model the loaded model, if any
  * @param role its role, if any
- * @param fence the greatest fencing number it has seen
- * @param busy whether it is carrying out an order
- * @param servesUnordered whether it serves any role as long as it was ordered nothing
+ * @param fence the greatest fencing token that it has seen
+ * @param busy whether it is executing an order
+ * @param servesUnordered whether it serves any role until it receives an order
  */
 public record EngineState(
         Optional<ServiceName> service,
@@ -22,7 +22,7 @@
         boolean busy,
         boolean servesUnordered) {
 
-    /** Creates the state of an engine that serves nothing before it is ordered to. */
+    /** Creates the state of an engine that serves nothing until it receives an order. */
     public EngineState(
             Optional<ServiceName> service,
             Optional<String> model,
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineStreamListener.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineStreamListener.java
@@ -1,26 +1,28 @@
 package org.cyclamenpaddle.engine.model;
 
 /**
- * Hears the events of one decode stream, one at a time and in order.
+ * Receives the events of one decode stream, serially and in order.
  *
- * <p>Exactly one of {@link #onEnd}, {@link #onFailed} and {@link #onBroken} comes last, unless the
- * stream is closed before. Callbacks run on an I/O thread, perhaps before the call that opened the
- * stream has returned, and must not block.
+ * <p>Exactly one of {@link #onEnd}, {@link #onFailed} and {@link #onBroken} is called last, unless
+ * the stream is closed before. Callbacks run on an I/O thread, possibly before the call that opened
+ * the stream has returned, and must not block.
  */
 public interface EngineStreamListener {
 
-    /** The KV cache has arrived; {@code bytes} of it. */
+    /** Called when the KV cache of {@code bytes} was imported. */
     void onImported(long bytes);
 
-    /** A token was generated; {@code index} counts from the first token of the answer. */
+    /** Called for a generated token; {@code index} counts from the first token of the response. */
     void onToken(int index, String text);
 
-    /** The engine's final mark: {@code tokens} in all, from index 0. */
+    /** Called for the end event: {@code tokens} in total, from index 0. */
     void onEnd(int tokens, String finishReason);
 
-    /** The engine refused or gave up the attempt; it holds nothing for it. */
+    /** Called when the engine rejected or aborted the attempt; it holds no memory for it. */
     void onFailed(EngineFailure failure);
 
-    /** The stream broke; the attempt may go on in the engine and can be resumed. */
+    /**
+     * Called when the stream was lost; the attempt may continue in the engine and can be resumed.
+     */
     void onBroken(EngineFailure failure);
 }
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
@@ -26,7 +26,7 @@
     private static final String ATTEMPTS = "/v1/attempts";
 
     private final WebClient mClient;
-    private final WebClient mKeptClient;
+    private final WebClient mKeepAliveClient;
     private final long mTimeoutMillis;
     private final EngineJson mJson = new EngineJson();
 
@@ -35,27 +35,27 @@
      *
      * @param connections opens the connections
      * @param engine the engine
-     * @param timeoutMillis longest wait for an answer, in milliseconds; a prefill, an order and a
-     *     decode wait as long as their calls say, and a read that fails over a kept connection is
-     *     made a second time over a new one
+     * @param timeoutMillis response timeout, in milliseconds; a prefill, an order and a decode have
+     *     the timeouts of their calls, and a read that fails over a keep-alive connection is
+     *     retried once over a new one
      */
     public HttpEngineClient(
             BackendConnections connections, BackendSpec engine, long timeoutMillis) {
         mClient = connections.client(engine);
-        mKeptClient = connections.keepAliveClient(engine);
+        mKeepAliveClient = connections.keepAliveClient(engine);
         mTimeoutMillis = timeoutMillis;
     }
 
     @Override
     public CompletableFuture<Either<EngineFailure, PrefillResult>> prefill(PrefillCall call) {
-        HttpRequest request = post("/v1/prefill", EngineBodies.PrefillAsk.of(call));
-        return ask(request, call.timeoutMillis(), EngineBodies.PrefillAnswer.class)
-                .thenApply(answer -> answer.flatMap(EngineBodies.PrefillAnswer::result));
+        HttpRequest request = post("/v1/prefill", EngineBodies.PrefillRequest.of(call));
+        return send(request, call.timeoutMillis(), EngineBodies.PrefillResponse.class)
+                .thenApply(response -> response.flatMap(EngineBodies.PrefillResponse::result));
     }
 
     @Override
     public StreamHandle decode(DecodeCall call, EngineStreamListener listener) {
-        return stream(post("/v1/decode", EngineBodies.DecodeAsk.of(call)), listener);
+        return stream(post("/v1/decode", EngineBodies.DecodeRequest.of(call)), listener);
     }
 
     @Override
@@ -67,14 +67,16 @@
     @Override
     public CompletableFuture<Boolean> cancel(AttemptId attempt) {
         HttpRequest request = HttpRequest.of(HttpMethod.DELETE, ATTEMPTS + "/" + attempt);
-        return ask(request, mTimeoutMillis, EngineBodies.CancelAnswer.class)
-                .thenApply(answer -> answer.exists(EngineBodies.CancelAnswer::confirms));
+        return send(request, mTimeoutMillis, EngineBodies.CancelResponse.class)
+                .thenApply(response -> response.exists(EngineBodies.CancelResponse::confirms));
     }
 
     @Override
     public CompletableFuture<Either<EngineFailure, List<EngineAttempt>>> attempts() {
         return read(
-                ATTEMPTS, EngineBodies.AttemptsAnswer.class, EngineBodies.AttemptsAnswer::result);
+                ATTEMPTS,
+                EngineBodies.AttemptsResponse.class,
+                EngineBodies.AttemptsResponse::result);
     }
 
     @Override
@@ -86,20 +88,21 @@
     public CompletableFuture<Either<EngineFailure, CacheEvents>> cacheEvents(long after) {
         return read(
                 "/v1/cache-events?after=" + after,
-                EngineBodies.CacheEventsAnswer.class,
-                EngineBodies.CacheEventsAnswer::result);
+                EngineBodies.CacheEventsResponse.class,
+                EngineBodies.CacheEventsResponse::result);
     }
 
     @Override
     public CompletableFuture<Either<EngineFailure, EngineState>> order(EngineOrder order) {
-        HttpRequest request = post("/v1/orders", EngineBodies.OrderAsk.of(order));
-        return ask(request, order.timeoutMillis(), EngineBodies.StateAnswer.class)
-                .thenApply(answer -> answer.flatMap(EngineBodies.StateAnswer::result));
+        HttpRequest request = post("/v1/orders", EngineBodies.OrderRequest.of(order));
+        return send(request, order.timeoutMillis(), EngineBodies.StateResponse.class)
+                .thenApply(response -> response.flatMap(EngineBodies.StateResponse::result));
     }
 
     @Override
     public CompletableFuture<Either<EngineFailure, EngineState>> state() {
-        return read("/v1/state", EngineBodies.StateAnswer.class, EngineBodies.StateAnswer::result);
+        return read(
+                "/v1/state", EngineBodies.StateResponse.class, EngineBodies.StateResponse::result);
     }
 
     private HttpRequest post(String path, Object body) {
@@ -108,50 +111,51 @@
 
     private <B, T> CompletableFuture<Either<EngineFailure, T>> read(
             String path, Class<B> type, Function<B, Either<EngineFailure, T>> result) {
-        return readOver(mKeptClient, path, type)
+        return get(mKeepAliveClient, path, type)
                 .thenCompose(
-                        answer ->
-                                answer.isLeft() && keptConnectionSuspect(answer.getLeft())
-                                        ? readOver(mClient, path, type)
-                                        : CompletableFuture.completedFuture(answer))
-                .thenApply(answer -> answer.flatMap(result));
+                        response ->
+                                response.isLeft() && mayBeStaleConnection(response.getLeft())
+                                        ? get(mClient, path, type)
+                                        : CompletableFuture.completedFuture(response))
+                .thenApply(response -> response.flatMap(result));
     }
 
-    // Failure: a kept connection went silent, or was closed by the engine just now, and a sound
-    // engine would look dead. Only a failure over a new connection speaks of the engine itself.
-    private static boolean keptConnectionSuspect(EngineFailure failure) {
+    // A keep-alive connection may have gone silent or just been closed by the engine, and a healthy
+    // engine would look dead. Only a failure over a new connection is a failure of the engine
+    // itself.
+    private static boolean mayBeStaleConnection(EngineFailure failure) {
         return failure instanceof EngineFailure.TimedOut
                 || failure instanceof EngineFailure.Unreachable unreachable
                         && unreachable.connected();
     }
 
-    private <B> CompletableFuture<Either<EngineFailure, B>> readOver(
+    private <B> CompletableFuture<Either<EngineFailure, B>> get(
             WebClient client, String path, Class<B> type) {
-        return ask(client, HttpRequest.of(HttpMethod.GET, path), mTimeoutMillis, type);
+        return send(client, HttpRequest.of(HttpMethod.GET, path), mTimeoutMillis, type);
     }
 
-    private <B> CompletableFuture<Either<EngineFailure, B>> ask(
+    private <B> CompletableFuture<Either<EngineFailure, B>> send(
             HttpRequest request, long timeoutMillis, Class<B> type) {
-        return ask(mClient, request, timeoutMillis, type);
+        return send(mClient, request, timeoutMillis, type);
     }
 
-    private <B> CompletableFuture<Either<EngineFailure, B>> ask(
+    private <B> CompletableFuture<Either<EngineFailure, B>> send(
             WebClient client, HttpRequest request, long timeoutMillis, Class<B> type) {
         RequestOptions options =
                 RequestOptions.builder().responseTimeoutMillis(timeoutMillis).build();
         try (ClientRequestContextCaptor captor = Clients.newContextCaptor()) {
-            CompletableFuture<AggregatedHttpResponse> answer =
+            CompletableFuture<AggregatedHttpResponse> aggregated =
                     client.execute(request, options).aggregate();
             ClientRequestContext context = captor.get();
-            return answer.handle(
+            return aggregated.handle(
                     (response, failure) ->
                             failure == null
-                                    ? answered(response, type)
+                                    ? result(response, type)
                                     : Either.left(failed(context, failure)));
         }
     }
 
-    private <B> Either<EngineFailure, B> answered(AggregatedHttpResponse response, Class<B> type) {
+    private <B> Either<EngineFailure, B> result(AggregatedHttpResponse response, Class<B> type) {
         return response.status().equals(HttpStatus.OK)
                 ? mJson.read(response.contentUtf8(), type)
                 : Either.left(mJson.failure(response));
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/LineSplitter.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/LineSplitter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Cuts a byte stream into lines; a partial line is kept until the rest comes.
+ * Splits a byte stream into lines; buffers a partial line until the rest arrives.
  *
  * <p>Not thread-safe.
  */
@@ -21,36 +21,38 @@
     }
 
     /**
-     * Takes the next bytes and returns the lines that they complete, without empty ones.
+     * Adds bytes and returns the lines that they complete, without empty ones.
      *
-     * <p>An engine gone wrong could send a line without end, which would fill the host's memory; so
-     * a line that is too long ends the splitting, see {@link #oversized()}.
+     * <p>A faulty engine could send an endless line, which would exhaust the host's memory; so an
+     * oversized line ends the splitting, see {@link #oversized()}.
      */
     List<String> feed(byte[] bytes) {
         List<String> lines = new ArrayList<>();
         int start = 0;
         for (int i = 0; i < bytes.length && !mOversized; i++) {
             if (bytes[i] == '\n') {
-                keep(bytes, start, i);
+                append(bytes, start, i);
                 complete(lines);
                 start = i + 1;
             }
         }
-        keep(bytes, start, bytes.length);
+        append(bytes, start, bytes.length);
         return lines;
     }
 
-    /** Returns whether a line was too long; no line comes after it. */
+    /**
+     * Returns whether a line exceeded the maximum length; no further lines are returned after it.
+     */
     boolean oversized() {
         return mOversized;
     }
 
-    /** Returns whether bytes of an unfinished line are kept. */
+    /** Returns whether bytes of an incomplete line are buffered. */
     boolean partial() {
         return mPartial.size() > 0;
     }
 
-    private void keep(byte[] bytes, int start, int end) {
+    private void append(byte[] bytes, int start, int end) {
         mOversized = mOversized || mPartial.size() + (end - start) > mMaxLineBytes;
         if (!mOversized) {
             mPartial.write(bytes, start, end - start);
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/PrefillSource.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/PrefillSource.java
@@ -3,9 +3,9 @@
 import org.cyclamenpaddle.core.id.AttemptId;
 
 /**
- * Where a decode engine fetches KV cache.
+ * Location from which a decode engine fetches KV cache.
  *
- * @param address IP number of the prefill engine
+ * @param address IP address of the prefill engine
  * @param port its TCP port
  * @param attempt the prefill attempt there
  */
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/StreamEvent.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/StreamEvent.java
@@ -3,9 +3,9 @@
 import io.vavr.control.Either;
 
 /**
- * One line of a decode stream as it is in JSON.
+ * JSON body of one line of a decode stream.
  *
- * @param event which event
+ * @param event name of the event
  * @param bytes of {@code imported}
  * @param index of {@code token}
  * @param text of {@code token}
@@ -23,9 +23,9 @@
         String reason) {
 
     /**
-     * Hands this event to a listener.
+     * Delivers this event to a listener.
      *
-     * @return whether it was the last of its stream, or what is wrong with it
+     * @return whether it was the last event of its stream, or why it is malformed
      */
     Either<EngineFailure, Boolean> deliver(EngineStreamListener listener) {
         String kind = String.valueOf(event);
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/StreamHandle.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/StreamHandle.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.engine.model;
 
-/** A decode stream that is being read. */
+/** Handle of an open decode stream. */
 public interface StreamHandle extends AutoCloseable {
 
     /**
-     * Stops reading; idempotent. The listener hears nothing of this stream after the callback that
-     * may be running. The attempt goes on in the engine until it is cancelled there.
+     * Stops reading; idempotent. The listener receives no events after a callback that may be
+     * running. The attempt continues in the engine until it is cancelled there.
      */
     @Override
     void close();
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/package-info.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Client of engines and plain services. */
+/** Clients of model engines and plain services. */
 package org.cyclamenpaddle.engine;
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainRequest.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainRequest.java
@@ -6,13 +6,13 @@
 /**
  * A call to forward to a plain service.
  *
- * @param attempt identity of this try
+ * @param attempt identity of this attempt
  * @param method HTTP method
  * @param pathAndQuery path below the service with its query, starting with '/'
- * @param contentType media type of the body, if the caller named one
- * @param body the body, perhaps empty
- * @param idempotencyKey the caller's key, if any
- * @param timeoutMillis longest wait for the answer, in milliseconds
+ * @param contentType media type of the body, if the caller gave one
+ * @param body the body, possibly empty
+ * @param idempotencyKey the caller's idempotency key, if any
+ * @param timeoutMillis response timeout, in milliseconds
  */
 public record PlainRequest(
         AttemptId attempt,
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainResult.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainResult.java
@@ -1,28 +1,28 @@
 package org.cyclamenpaddle.engine.plain;
 
-/** What became of a forwarded call. */
+/** Outcome of a forwarded call. */
 public sealed interface PlainResult {
 
     /**
-     * The service answered in full.
+     * The service sent a complete response.
      *
      * @param status HTTP status
-     * @param contentType media type of the body; empty if none was named
+     * @param contentType media type of the body; empty if none was given
      * @param body the body
      */
     record Response(int status, String contentType, byte[] body) implements PlainResult {}
 
     /**
-     * Provably no byte of the call left, so it did not run.
+     * Provably no byte of the call was sent, so it did not run.
      *
-     * @param reason what happened
+     * @param reason the cause
      */
     record NothingSent(String reason) implements PlainResult {}
 
     /**
      * The call may have run.
      *
-     * @param reason what happened
+     * @param reason the cause
      */
     record MaybeSent(String reason) implements PlainResult {}
 }
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainServiceClient.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainServiceClient.java
@@ -17,7 +17,7 @@
 import org.cyclamenpaddle.engine.http.BackendConnections;
 import org.cyclamenpaddle.engine.http.CallFailure;
 
-/** Forwards calls to plain services and tells exactly whether one may have run. */
+/** Forwards calls to plain services and reports reliably whether a call may have run. */
 public final class PlainServiceClient {
 
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
@@ -28,27 +28,28 @@
     /**
      * Creates the client.
      *
-     * @param connections opens a new connection for each call, which is what makes {@link
-     *     PlainResult.NothingSent} provable
+     * @param connections opens a new connection for each call, without which {@link
+     *     PlainResult.NothingSent} could not be proven
      */
     public PlainServiceClient(BackendConnections connections) {
         mConnections = connections;
     }
 
     /**
-     * Forwards a call once; it is never sent again from here.
+     * Forwards a call once, without retries.
      *
      * @param backend the plain service instance
-     * @param call the call; one that HTTP has no form for, such as an unknown method, is not sent
+     * @param call the call; one that is no valid HTTP request, such as one with an unknown method,
+     *     is not sent
      * @return completes with a result in every case; never exceptionally
      */
     public CompletableFuture<PlainResult> call(BackendSpec backend, PlainRequest call) {
         return Try.of(() -> request(call))
                 .map(request -> send(backend, request, call.timeoutMillis()))
                 .getOrElseGet(
-                        unfit ->
+                        invalid ->
                                 CompletableFuture.completedFuture(
-                                        new PlainResult.NothingSent(String.valueOf(unfit))));
+                                        new PlainResult.NothingSent(String.valueOf(invalid))));
     }
 
     private CompletableFuture<PlainResult> send(
@@ -56,12 +57,12 @@
         RequestOptions options =
                 RequestOptions.builder().responseTimeoutMillis(timeoutMillis).build();
         try (ClientRequestContextCaptor captor = Clients.newContextCaptor()) {
-            CompletableFuture<AggregatedHttpResponse> answer =
+            CompletableFuture<AggregatedHttpResponse> aggregated =
                     mConnections.client(backend).execute(request, options).aggregate();
             ClientRequestContext context = captor.get();
-            return answer.handle(
+            return aggregated.handle(
                     (response, failure) ->
-                            failure == null ? answered(response) : failed(context, failure));
+                            failure == null ? result(response) : failed(context, failure));
         }
     }
 
@@ -74,7 +75,7 @@
         return HttpRequest.of(headers.build(), HttpData.wrap(call.body()));
     }
 
-    private static PlainResult answered(AggregatedHttpResponse response) {
+    private static PlainResult result(AggregatedHttpResponse response) {
         return new PlainResult.Response(
                 response.status().code(),
                 response.headers().get(HttpHeaderNames.CONTENT_TYPE, ""),
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/package-info.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/package-info.java
@@ -1,2 +1,2 @@
-/** Client of plain services that tells whether a call may have run. */
+/** Client of plain services that reports whether a call may have run. */
 package org.cyclamenpaddle.engine.plain;
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/http/RawServer.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/http/RawServer.java
@@ -17,7 +17,7 @@
 import org.cyclamenpaddle.core.id.BackendId;
 import org.cyclamenpaddle.core.id.FailureDomain;
 
-/** Server socket whose connections a test scripts byte by byte. */
+/** TCP server whose connections are scripted byte by byte. */
 public final class RawServer implements AutoCloseable {
 
     private static final Pattern CONTENT_LENGTH =
@@ -28,7 +28,7 @@
     private final AtomicInteger mConnections = new AtomicInteger();
     private final CompletableFuture<Void> mClosed = new CompletableFuture<>();
 
-    /** What to do with a connection; its number counts from 1. */
+    /** Script of a connection; connections are numbered from 1. */
     @FunctionalInterface
     public interface Script {
         void run(Socket socket, int number) throws IOException;
@@ -67,7 +67,7 @@
         mClosed.join();
     }
 
-    /** Reads up to and including the empty line that ends the request's headers. */
+    /** Reads the request line and headers, including the empty line that ends them. */
     public static String readHeaders(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -81,7 +81,7 @@
         return text.toString();
     }
 
-    /** Reads a whole request and returns its request line and its body. */
+    /** Reads a complete request and returns its method, path and body. */
     public static String readRequest(Socket socket) throws IOException {
         String head = readHeaders(socket);
         Matcher length = CONTENT_LENGTH.matcher(head);
@@ -90,8 +90,8 @@
         return head.substring(0, head.indexOf(" HTTP/")) + " " + body;
     }
 
-    /** Writes a whole answer. */
-    public static void answer(Socket socket, int status, String body) throws IOException {
+    /** Writes a complete response. */
+    public static void respond(Socket socket, int status, String body) throws IOException {
         int length = body.getBytes(StandardCharsets.UTF_8).length;
         write(socket, "HTTP/1.1 " + status + " X\r\nContent-Length: " + length + "\r\n\r\n" + body);
     }
@@ -101,7 +101,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Writes the headers of a chunked stream of events. */
+    /** Writes the headers of a chunked event stream. */
     public static void writeStreamHeaders(Socket socket) throws IOException {
         write(
                 socket,
@@ -141,7 +141,7 @@
         try (socket) {
             script.run(socket, number);
         } catch (IOException broken) {
-            // The client went first, which is part of some tests.
+            // The client closed the connection first, as some tests do.
         }
     }
 }
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/DecodeStreamTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/DecodeStreamTest.java
@@ -64,10 +64,10 @@
     }
 
     @Test
-    public void eventsArriveTypedAndInOrderHoweverTheyAreCut() throws Exception {
+    public void eventsArriveTypedAndInOrderHoweverTheyAreSplit() throws Exception {
         String stream = "{\"event\":\"imported\",\"bytes\":4096}\n" + TOKEN_0 + TOKEN_1 + END;
-        for (int cut = 1; cut < stream.length(); cut += 7) {
-            int at = cut;
+        for (int split = 1; split < stream.length(); split += 7) {
+            int at = split;
             StreamLog log = new StreamLog();
             try (RawServer server =
                     new RawServer(
@@ -87,9 +87,10 @@
     }
 
     @Test
-    public void streamCutInTheMiddleOfLineIsBroken() throws Exception {
-        // The caller would see half a token. The engine dies while it writes a line; the whole
-        // lines before count, the partial one never does, and the stream ends as broken.
+    public void streamTruncatedWithinLineIsBroken() throws Exception {
+        // The engine crashes while it writes a line. The complete lines before it must be
+        // delivered, the partial one must not, or the caller would see half a token; the stream is
+        // then broken.
         assertEvents(
                 socket -> {
                     RawServer.writeChunk(socket, TOKEN_0);
@@ -99,9 +100,10 @@
     }
 
     @Test
-    public void streamThatEndsCleanlyWithoutItsEndMarkIsBroken() throws Exception {
-        // The caller would take a cut answer for a whole one. The engine, or something between,
-        // ends the HTTP body properly before the end event; only that event makes it whole.
+    public void streamThatEndsWithoutEndEventIsBroken() throws Exception {
+        // The engine or a proxy ends the HTTP body cleanly before the end event. Only that event
+        // completes the response; otherwise the caller would take a truncated response for a
+        // complete one.
         assertEvents(
                 socket -> {
                     RawServer.writeChunk(socket, TOKEN_0);
@@ -111,15 +113,15 @@
     }
 
     @Test
-    public void nothingIsHeardAfterTheEndMark() {
+    public void noEventIsDeliveredAfterTheEndEvent() {
         byte[] bytes = (END + TOKEN_0).getBytes(StandardCharsets.UTF_8);
         assertEquals(eventsOf(bytes, 0), List.of("end 2 stop"));
     }
 
     @Test
-    public void lineWithoutEndIsRefused() throws Exception {
-        // The host would run out of memory. An engine gone wrong sends one endless line; after the
-        // longest line that is allowed the stream is given up.
+    public void oversizedLineIsRejected() throws Exception {
+        // A faulty engine sends one endless line, which would exhaust the host's memory. The stream
+        // must be aborted at the maximum line length.
         StreamLog log = new StreamLog();
         String part = "x".repeat(16 << 10);
         try (RawServer server =
@@ -168,7 +170,7 @@
     }
 
     @Test
-    public void refusedConnectionIsTold() throws Exception {
+    public void refusedConnectionIsReported() throws Exception {
         int port;
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
@@ -179,9 +181,10 @@
     }
 
     @Test
-    public void resumeOpensNewConnectionWhileTheOldOneIsSilent() throws Exception {
-        // The caller's tokens stop. Something between the ends lost track of the connection, which
-        // stays open and silent; a resume over it would be lost as well, over a new one it works.
+    public void resumeOpensNewConnectionWhileOldOneIsSilent() throws Exception {
+        // A middlebox lost the state of the connection, which stays open and silent, and the caller
+        // gets no more tokens. A resume must use a new connection, as it would be lost on the old
+        // one.
         Queue<String> heads = new ConcurrentLinkedQueue<>();
         CountDownLatch silence = new CountDownLatch(1);
         StreamLog log = new StreamLog();
@@ -213,8 +216,8 @@
     }
 
     @Test
-    public void closedStreamIsHeardOfNoMore() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+    public void closedStreamDeliversNoEvents() throws Exception {
+        CountDownLatch disconnected = new CountDownLatch(1);
         StreamLog log = new StreamLog();
         try (RawServer server =
                 new RawServer(
@@ -225,26 +228,26 @@
                             while (socket.getInputStream().read() >= 0) {
                                 continue;
                             }
-                            gone.countDown();
+                            disconnected.countDown();
                         })) {
             StreamHandle stream = client(server).decode(CALL, log);
             assertEquals(log.next(), "token 0 a");
             stream.close();
             stream.close();
-            gone.await();
+            disconnected.await();
             assertEquals(log.rest(), List.of());
         }
     }
 
     @Test
     public void mutatedStreamsEndOnceAndNeverThrow() {
-        // The caller would hang, or hear of its answer after its end. Any bytes may come from an
-        // engine gone wrong, cut anywhere; the listener hears exactly one last event.
-        String whole = "{\"event\":\"imported\",\"bytes\":4096}\n" + TOKEN_0 + TOKEN_1 + END;
+        // A faulty engine may send any bytes, split anywhere. The listener must receive exactly one
+        // final event, or the caller would hang or receive events after the end of its response.
+        String validStream = "{\"event\":\"imported\",\"bytes\":4096}\n" + TOKEN_0 + TOKEN_1 + END;
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         int ended = 0;
         for (int i = 0; i < MUTANTS; i++) {
-            byte[] bytes = whole.getBytes(StandardCharsets.UTF_8);
+            byte[] bytes = validStream.getBytes(StandardCharsets.UTF_8);
             bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(Byte.SIZE));
             List<String> events = eventsOf(bytes, random.nextInt(bytes.length));
             long last = events.stream().filter(event -> event.matches("(end|failed|br).*")).count();
@@ -256,8 +259,8 @@
         assertTrue(ended > 0 && ended < MUTANTS, ended + " ended");
     }
 
-    /** Hands bytes to a stream in two parts, without a network. */
-    private static List<String> eventsOf(byte[] bytes, int cut) {
+    /** Passes bytes to a stream in two parts, without a network. */
+    private static List<String> eventsOf(byte[] bytes, int split) {
         StreamLog log = new StreamLog();
         ClientRequestContext context =
                 ClientRequestContext.of(HttpRequest.of(HttpMethod.POST, "/v1/decode"));
@@ -265,8 +268,8 @@
                 new DecodeStream(new EngineJson(), log, context, HttpResponse.streaming());
         stream.onSubscribe(UNBOUNDED);
         stream.onNext(ResponseHeaders.of(HttpStatus.OK));
-        stream.onNext(HttpData.wrap(Arrays.copyOf(bytes, cut)));
-        stream.onNext(HttpData.wrap(Arrays.copyOfRange(bytes, cut, bytes.length)));
+        stream.onNext(HttpData.wrap(Arrays.copyOf(bytes, split)));
+        stream.onNext(HttpData.wrap(Arrays.copyOfRange(bytes, split, bytes.length)));
         stream.onComplete();
         return log.rest();
     }
@@ -282,7 +285,7 @@
         assertEquals(log.rest(), List.of());
     }
 
-    /** Reads a whole stream whose connection ends after its body. */
+    /** Reads a complete stream whose connection closes after its body. */
     private StreamLog decode(Body body) throws Exception {
         StreamLog log = new StreamLog();
         CountDownLatch written = new CountDownLatch(1);
@@ -306,7 +309,7 @@
                 new RawServer(
                         (socket, number) -> {
                             RawServer.readHeaders(socket);
-                            RawServer.answer(socket, status, body);
+                            RawServer.respond(socket, status, body);
                         })) {
             client(server).decode(CALL, log);
             return log.next();
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/HttpEngineClientTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/HttpEngineClientTest.java
@@ -34,7 +34,7 @@
             "{\"service\":\"malt-reader\",\"model\":\"malt-7b\",\"role\":\"prefill\","
                     + "\"fence\":4,\"busy\":true}";
 
-    private static final String LISTED =
+    private static final String REPORTED_ATTEMPT =
             "{\"attempt\":\"ahm-1:1:1\",\"role\":\"decode\",\"pieces\":2,"
                     + "\"nextIndex\":7,\"ended\":false}";
 
@@ -47,7 +47,7 @@
 
     @Test
     public void prefillSendsItsCallAndReadsItsResult() throws Exception {
-        assertAnswer(
+        assertResult(
                 client -> client.prefill(PREFILL),
                 "POST /v1/prefill {\"attempt\":\"ahm-1:1:1\",\"prompt\":\"lot 7\","
                         + "\"prior\":[\"a\"],\"priority\":2,\"timeoutMillis\":20000}",
@@ -58,23 +58,27 @@
 
     @Test
     public void readsWhatTheEngineReports() throws Exception {
-        assertAnswer(
+        assertResult(
                 EngineClient::attempts,
                 "GET /v1/attempts ",
-                "{\"attempts\":[" + LISTED + "," + LISTED.replace("ahm-1:1:1", "some one") + "]}",
+                "{\"attempts\":["
+                        + REPORTED_ATTEMPT
+                        + ","
+                        + REPORTED_ATTEMPT.replace("ahm-1:1:1", "some one")
+                        + "]}",
                 List.of(new EngineAttempt(ATTEMPT, "decode", 2, 7, false)));
-        assertAnswer(
+        assertResult(
                 EngineClient::load,
                 "GET /v1/load ",
                 "{\"slots\":20,\"slotsUsed\":3,\"pieces\":64,\"piecesUsed\":9,\"queuedTokens\":5}",
                 new EngineLoad(20, 3, 64, 9, 5));
-        assertAnswer(
+        assertResult(
                 client -> client.cacheEvents(7),
                 "GET /v1/cache-events?after=7 ",
                 "{\"lastSequence\":9,\"events\":[{\"sequence\":9,\"kind\":\"evicted\","
                         + "\"hash\":\"fffffffffffffffe\"}]}",
                 new CacheEvents(9, List.of(new CacheEvents.CacheEvent(9, false, -2))));
-        assertAnswer(
+        assertResult(
                 EngineClient::state,
                 "GET /v1/state ",
                 "{\"service\":\"\",\"model\":\"\",\"role\":\"\",\"fence\":0,\"busy\":false}",
@@ -82,8 +86,8 @@
     }
 
     @Test
-    public void orderIsTakenOrRefusedAsStale() throws Exception {
-        assertAnswer(
+    public void orderIsAcceptedOrRejectedAsStale() throws Exception {
+        assertResult(
                 client -> client.order(ORDER),
                 "POST /v1/orders {\"fence\":4,\"service\":\"malt-reader\",\"model\":\"malt-7b\","
                         + "\"role\":\"prefill\",\"timeoutMillis\":5000}",
@@ -134,9 +138,9 @@
     }
 
     @Test
-    public void cancelAfterSilenceMeetsNewConnection() throws Exception {
-        // Engine memory stays held by a request whose caller has gone. The connection of the first
-        // cancel goes silent, so it times out unconfirmed; the next one must not share its fate.
+    public void cancelAfterTimeoutUsesNewConnection() throws Exception {
+        // A request whose caller has disconnected would keep its engine memory. The first cancel
+        // times out unconfirmed on a silent connection; the next one must use another connection.
         CompletableFuture<Void> testEnd = new CompletableFuture<>();
         try (RawServer server =
                 new RawServer(
@@ -145,7 +149,7 @@
                                 testEnd.join();
                             }
                             RawServer.readRequest(socket);
-                            RawServer.answer(socket, 200, "{\"heldPieces\":0}");
+                            RawServer.respond(socket, 200, "{\"heldPieces\":0}");
                         })) {
             assertFalse(client(server, SHORT_TIMEOUT_MILLIS).cancel(ATTEMPT).join());
             assertTrue(client(server, TIMEOUT_MILLIS).cancel(ATTEMPT).join());
@@ -154,16 +158,16 @@
     }
 
     @Test
-    public void readOverSilentKeptConnectionIsMadeOnceMoreOverNewOne() throws Exception {
-        // A sound engine would be held for dead. The kept connection answers once and then goes
-        // silent; the next read times out on it, is made again over a new connection, and the
-        // silent one is closed and used no more.
+    public void readOverSilentKeepAliveConnectionIsRetriedOverNewOne() throws Exception {
+        // A keep-alive connection responds once and then goes silent, and a healthy engine would be
+        // considered dead. The next read times out on it and must be retried over a new connection,
+        // and the silent connection must be closed.
         CountDownLatch closed = new CountDownLatch(1);
         try (RawServer server =
                 new RawServer(
                         (socket, number) -> {
                             RawServer.readRequest(socket);
-                            RawServer.answer(socket, 200, STATE);
+                            RawServer.respond(socket, 200, STATE);
                             if (number == 1) {
                                 RawServer.readRequest(socket);
                                 if (socket.getInputStream().read() < 0) {
@@ -179,41 +183,41 @@
         }
     }
 
-    private <T> void assertAnswer(
+    private <T> void assertResult(
             Function<EngineClient, CompletableFuture<Either<EngineFailure, T>>> call,
             String request,
             String body,
             T result)
             throws Exception {
-        CompletableFuture<String> asked = new CompletableFuture<>();
+        CompletableFuture<String> received = new CompletableFuture<>();
         try (RawServer server =
                 new RawServer(
                         (socket, number) -> {
-                            asked.complete(RawServer.readRequest(socket));
-                            RawServer.answer(socket, 200, body);
+                            received.complete(RawServer.readRequest(socket));
+                            RawServer.respond(socket, 200, body);
                         })) {
             assertEquals(call.apply(client(server, TIMEOUT_MILLIS)).join(), Either.right(result));
-            assertEquals(asked.join(), request);
+            assertEquals(received.join(), request);
         }
     }
 
     private EngineFailure failure(int status, String body) throws Exception {
-        try (RawServer server = answering(status, body)) {
+        try (RawServer server = responding(status, body)) {
             return client(server, TIMEOUT_MILLIS).order(ORDER).join().getLeft();
         }
     }
 
     private boolean cancelled(int status, String body) throws Exception {
-        try (RawServer server = answering(status, body)) {
+        try (RawServer server = responding(status, body)) {
             return client(server, TIMEOUT_MILLIS).cancel(ATTEMPT).join();
         }
     }
 
-    private static RawServer answering(int status, String body) throws Exception {
+    private static RawServer responding(int status, String body) throws Exception {
         return new RawServer(
                 (socket, number) -> {
                     RawServer.readRequest(socket);
-                    RawServer.answer(socket, status, body);
+                    RawServer.respond(socket, status, body);
                 });
     }
 
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/StreamLog.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/StreamLog.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Listener that keeps the events of a stream as text, in order. */
+/** Listener that records the events of a stream as text, in order. */
 final class StreamLog implements EngineStreamListener {
 
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final BlockingQueue<String> mEvents = new LinkedBlockingQueue<>();
 
@@ -39,7 +39,7 @@
     }
 
     String next() throws InterruptedException {
-        return String.valueOf(mEvents.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        return String.valueOf(mEvents.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /** Returns the next {@code count} events. */
@@ -51,7 +51,7 @@
         return events;
     }
 
-    /** Returns the events that came and were not taken. */
+    /** Returns the received events that were not consumed. */
     List<String> rest() {
         return List.copyOf(mEvents);
     }
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
@@ -26,7 +26,7 @@
     private static final int CALLS = 12;
     private static final long SHORT_TIMEOUT_MILLIS = 400;
     private static final long LONG_TIMEOUT_MILLIS = 20_000;
-    private static final String OK_ANSWER =
+    private static final String OK_RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nbooked";
 
     private final BackendConnections mConnections = new BackendConnections();
@@ -38,19 +38,19 @@
     }
 
     @Test
-    public void forwardsCallAndAnswer() throws Exception {
+    public void forwardsCallAndResponse() throws Exception {
         Queue<String> heads = new ConcurrentLinkedQueue<>();
         try (RawServer server =
                 new RawServer(
                         (socket, number) -> {
                             heads.add(RawServer.readHeaders(socket));
-                            RawServer.write(socket, OK_ANSWER);
+                            RawServer.write(socket, OK_RESPONSE);
                         })) {
-            PlainResult.Response answer =
+            PlainResult.Response response =
                     (PlainResult.Response) call(server.spec(), LONG_TIMEOUT_MILLIS);
-            assertEquals(answer.status(), 200);
-            assertEquals(answer.contentType(), "text/plain");
-            assertEquals(new String(answer.body(), StandardCharsets.UTF_8), "booked");
+            assertEquals(response.status(), 200);
+            assertEquals(response.contentType(), "text/plain");
+            assertEquals(new String(response.body(), StandardCharsets.UTF_8), "booked");
             String head = heads.remove().toLowerCase(java.util.Locale.ROOT);
             assertTrue(head.startsWith("post /bookings?lot=7 http/1.1\r\n"), head);
             assertTrue(head.contains("idempotency-key: key-1\r\n"), head);
@@ -59,17 +59,17 @@
     }
 
     @Test
-    public void eachCallHasConnectionOfItsOwn() throws Exception {
-        // A booking is refused as not run though it ran: a kept connection is closed by the server
-        // while the call is written to it, and the client can't tell whether the call came through.
-        // So even a server that keeps its connections open must see a new one for each call.
-        // It is closed from here after the answer, or it would stay open for good.
+    public void eachCallOpensItsOwnConnection() throws Exception {
+        // If a server closes a keep-alive connection while a call is written to it, the client
+        // can't tell whether the call ran, and a booking could be reported as not run although it
+        // ran. So each call must open a new connection, even to a server that keeps its connections
+        // open. The client must close it after the response, or it would stay open indefinitely.
         CountDownLatch closed = new CountDownLatch(CALLS);
         try (RawServer server =
                 new RawServer(
                         (socket, number) -> {
                             while (!RawServer.readHeaders(socket).isEmpty()) {
-                                RawServer.write(socket, OK_ANSWER);
+                                RawServer.write(socket, OK_RESPONSE);
                             }
                             closed.countDown();
                         })) {
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void callThatHttpHasNoFormForIsNotSent() throws Exception {
+    public void callThatIsNoValidHttpRequestIsNotSent() throws Exception {
         PlainRequest good = request(LONG_TIMEOUT_MILLIS);
         PlainRequest unknownMethod =
                 new PlainRequest(
@@ -118,21 +118,21 @@
     }
 
     @Test
-    public void serverThatClosesAfterOneByteMayHaveRunTheCall() throws Exception {
-        // The caller books a lot, the service reads and dies before it answers. Whether it booked
-        // is not known, so the caller must never be told that it did not run.
+    public void callMayHaveRunIfServerClosesAfterOneByte() throws Exception {
+        // The service reads the call and crashes before it responds. Whether it ran is unknown, so
+        // it must not be reported as not run.
         assertMaybeSent((socket, number) -> socket.getInputStream().read(), LONG_TIMEOUT_MILLIS);
     }
 
     @Test
-    public void serverThatClosesAtOnceMayHaveRunTheCall() throws Exception {
-        // As above, but the connection is gone before the service read anything; the bytes may
-        // have been on their way, and the client has no proof that they were not.
+    public void callMayHaveRunIfServerClosesAtOnce() throws Exception {
+        // As above, but the connection is closed before the service reads anything. The bytes may
+        // have been in flight, and the client can't prove that they were not.
         assertMaybeSent((socket, number) -> {}, LONG_TIMEOUT_MILLIS);
     }
 
     @Test
-    public void serverThatNeverReadsMayRunTheCall() throws Exception {
+    public void callMayRunIfServerNeverReads() throws Exception {
         try (RawServer server = hanging()) {
             PlainResult result = call(server.spec(), SHORT_TIMEOUT_MILLIS);
             assertTrue(result instanceof PlainResult.MaybeSent, result.toString());
@@ -140,11 +140,11 @@
     }
 
     @Test
-    public void answerCutInItsBodyMayHaveRunTheCall() throws Exception {
+    public void callWithTruncatedResponseMayHaveRun() throws Exception {
         assertMaybeSent(
                 (socket, number) -> {
                     RawServer.readHeaders(socket);
-                    RawServer.write(socket, OK_ANSWER.substring(0, OK_ANSWER.length() - 2));
+                    RawServer.write(socket, OK_RESPONSE.substring(0, OK_RESPONSE.length() - 2));
                 },
                 LONG_TIMEOUT_MILLIS);
     }
