--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -113,12 +113,12 @@
     private final HostDiscovery mFinder;
     private final PeerNetwork mNetwork;
 
-    Controllers(RouterSettings settings, EventLog log, FailureStop failure) {
+    Controllers(RouterSettings settings, EventLog log, FatalErrorHandler failure) {
         mSettings = settings;
         mDecisions = new DecisionSettings(settings);
         mLog = log;
         mSelf = new Incarnation(settings.host().name(), System.currentTimeMillis());
-        mWorkers = new Workers(WORKERS, failure::stop);
+        mWorkers = new Workers(WORKERS, failure::handle);
         mBlackboard = Blackboard.create(new Quarantine(mDecisions.quarantine()));
         mDecisionLog = new DecisionLog(mClock, EXPLAINED_REQUESTS, DECISIONS_KEPT);
         mHealth = new PlatformHealth(log, mMetrics, mClock);
@@ -159,7 +159,7 @@
                         settings.peers().seeds(), mHostList, mMembership, mTransport, mHealth);
         mNetwork = peerNetwork();
         mMembership.onHostChanged(this::hostChanged);
-        mMetrics.gauges(gauges());
+        mMetrics.registerGauges(gauges());
     }
 
     /**
@@ -327,7 +327,7 @@
         return new HttpHostList(platform.address(), platform.port(), platform.timeoutMillis());
     }
 
-    private MembershipDriver membership(FailureStop failure) {
+    private MembershipDriver membership(FatalErrorHandler failure) {
         MembershipSettings settings = MembershipSettings.DEFAULTS;
         Membership membership =
                 new Membership(mDecisions.self(mSelf), settings, mHeartbeat, random(1));
@@ -339,7 +339,7 @@
                 mClock,
                 mLog,
                 later ->
-                        failure.stop(
+                        failure.handle(
                                 new IllegalStateException(
                                         "host "
                                                 + later.host()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
@@ -47,7 +47,7 @@
      * @param settings its settings
      * @param failure told when an invariant is broken; must end the process
      */
-    public EntryHost(RouterSettings settings, FailureStop failure) {
+    public EntryHost(RouterSettings settings, FatalErrorHandler failure) {
         mSettings = settings;
         mLog = new EventLog();
         mStop =
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FailureStop.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FatalErrorHandler.java
@@ -2,8 +2,8 @@
 
 /** Ends the process after an invariant was broken. */
 @FunctionalInterface
-public interface FailureStop {
+public interface FatalErrorHandler {
 
     /** Takes what was thrown. */
-    void stop(Throwable failure);
+    void handle(Throwable failure);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/HttpFront.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/HttpFront.java
@@ -14,9 +14,9 @@
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.fleet.drain.StopStage;
 import org.cyclamenpaddle.router.front.CompletionsService;
-import org.cyclamenpaddle.router.front.FrontGate;
 import org.cyclamenpaddle.router.front.PlainCallsService;
 import org.cyclamenpaddle.router.front.ProblemErrorHandler;
+import org.cyclamenpaddle.router.front.RequestSupport;
 import org.cyclamenpaddle.router.front.StatusServices;
 import org.cyclamenpaddle.router.operator.OperatorApi;
 import org.cyclamenpaddle.router.settings.RouterSettings;
@@ -59,8 +59,8 @@
     }
 
     private Server build() {
-        FrontGate gate =
-                new FrontGate(
+        RequestSupport gate =
+                new RequestSupport(
                         mControllers.self(),
                         mControllers.blackboard(),
                         mControllers.metrics(),
@@ -79,7 +79,8 @@
                         .requestTimeout(Duration.ZERO)
                         .maxRequestLength(mSettings.limits().bodyBytes())
                         .gracefulShutdownTimeout(NO_QUIET_PERIOD, SHUTDOWN_TIMEOUT)
-                        .errorHandler(new ProblemErrorHandler(mControllers.metrics()::refused))
+                        .errorHandler(
+                                new ProblemErrorHandler(mControllers.metrics()::recordRefusal))
                         .service(
                                 Route.builder()
                                         .path("/v1/completions")
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/RouterMain.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/RouterMain.java
@@ -108,7 +108,7 @@
     }
 
     private static void broken(EventLog log, Throwable failure) {
-        log.log(LogEvent.INVARIANT_BROKEN, failure);
+        log.log(LogEvent.INVARIANT_VIOLATED, failure);
         failure.printStackTrace();
         // No planned stop: the state that it would rely on is what was found to be wrong.
         Runtime.getRuntime().halt(EXIT_INVARIANT);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/Canceller.java
@@ -66,7 +66,7 @@
             mPending.decrementAndGet();
             return;
         }
-        mMetrics.retried(RetryReason.CANCEL_UNCONFIRMED);
+        mMetrics.recordRetry(RetryReason.CANCEL_UNCONFIRMED);
         long pause = FIRST_PAUSE_MILLIS << Math.min(MOST_DOUBLINGS, failures);
         mWorkers.schedule(
                 Math.min(LONGEST_PAUSE_MILLIS, pause),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -140,7 +140,7 @@
         if (result instanceof PlainResult.NothingSent nothing) {
             record(DecisionStep.RETRIED, backend.id() + ": " + nothing.reason());
             mServices.selector().onUnreachable(backend.id());
-            mServices.metrics().retried(RetryReason.CONNECT_FAILED);
+            mServices.metrics().recordRetry(RetryReason.CONNECT_FAILED);
             take(new BookingEvent.ConnectFailedBeforeFirstByte());
             return;
         }
@@ -203,9 +203,9 @@
 
     private void reply(BookingReply reply) {
         RunOutcome outcome = reply.outcome();
-        mServices.metrics().booking(outcome);
+        mServices.metrics().recordBooking(outcome);
         if (reply instanceof BookingReply.Refused refused) {
-            mServices.metrics().refused(refused.refusal().reason());
+            mServices.metrics().recordRefusal(refused.refusal().reason());
         }
         record(DecisionStep.ANSWERED, outcome.code());
         mReply.complete(reply);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -134,7 +134,7 @@
         if (tried.size() >= MOST_TRIES || !takeRetry(call)) {
             return refused(RefusalReason.BACKEND_FAILED);
         }
-        mMetrics.retried(RetryReason.REPEATABLE_CALL_FAILED);
+        mMetrics.recordRetry(RetryReason.REPEATABLE_CALL_FAILED);
         return attempt(call, deadline, tried);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
@@ -33,16 +33,16 @@
     /** Notes an answer. */
     public void answered() {
         if (mReachable.compareAndSet(false, true)) {
-            mLog.log(LogEvent.PLATFORM_BACK, mClock.millis() - mAwaySince);
+            mLog.log(LogEvent.PLATFORM_REACHABLE, mClock.millis() - mAwaySince);
         }
     }
 
     /** Notes a failed call. */
     public void failed(PlatformError error) {
-        mMetrics.retried(RetryReason.PLATFORM_CALL_FAILED);
+        mMetrics.recordRetry(RetryReason.PLATFORM_CALL_FAILED);
         if (mReachable.compareAndSet(true, false)) {
             mAwaySince = mClock.millis();
-            mLog.log(LogEvent.PLATFORM_AWAY, error);
+            mLog.log(LogEvent.PLATFORM_UNREACHABLE, error);
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
@@ -22,7 +22,7 @@
             List.of("host", "incarnation", "domain", "http", "peer"),
             "The process runs and begins to learn members and configuration.",
             "Nothing."),
-    SETTINGS_REFUSED(
+    SETTINGS_REJECTED(
             1002,
             ERROR,
             "settings refused",
@@ -86,14 +86,14 @@
             List.of("host"),
             "The host goes through a planned stop.",
             "Nothing."),
-    OWNERSHIP_TAKEN(
+    OWNERSHIP_ACQUIRED(
             1110,
             INFO,
             "ownership of backend server taken",
             List.of("backend", "from"),
             "This host now keeps the ledger of grants of that backend server.",
             "Nothing; if it moves to and fro, look for suspected hosts."),
-    OWNERSHIP_GIVEN(
+    OWNERSHIP_RELEASED(
             1111,
             INFO,
             "ownership of backend server given",
@@ -122,7 +122,7 @@
             List.of("preset", "previous", "version"),
             "New requests are placed by the new preset.",
             "Nothing."),
-    PLATFORM_AWAY(
+    PLATFORM_UNREACHABLE(
             1210,
             WARN,
             "platform away",
@@ -130,7 +130,7 @@
             "Calls of the platform fail; the last configuration stays in force, keyed bookings and"
                     + " changes of configuration are refused.",
             "Restore the platform; see the page on operations, section platform outage."),
-    PLATFORM_BACK(
+    PLATFORM_REACHABLE(
             1211,
             INFO,
             "platform back",
@@ -218,7 +218,7 @@
             "Bytes were sent and no answer came; the caller was told unknown.",
             "Look the attempt up in the service's own records before it is asked anew."),
 
-    INVARIANT_BROKEN(
+    INVARIANT_VIOLATED(
             1901,
             ERROR,
             "invariant broken; process stops",
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
@@ -24,7 +24,7 @@
     private static final String TEAM_HEADER = "x-team";
     private static final String DEFAULT_TEAM = "default";
 
-    private final FrontGate mGate;
+    private final RequestSupport mGate;
     private final ModelRequests mRequests;
     private final int mMostPromptTokens;
 
@@ -35,7 +35,7 @@
      * @param requests runs the requests
      * @param mostPromptTokens longest prompt taken, in estimated tokens
      */
-    public CompletionsService(FrontGate gate, ModelRequests requests, int mostPromptTokens) {
+    public CompletionsService(RequestSupport gate, ModelRequests requests, int mostPromptTokens) {
         mGate = gate;
         mRequests = requests;
         mMostPromptTokens = mostPromptTokens;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
@@ -35,7 +35,7 @@
     private static final String IDEMPOTENCY_KEY = "idempotency-key";
     private static final String REPLAYED = "x-replayed";
 
-    private final FrontGate mGate;
+    private final RequestSupport mGate;
     private final Bookings mBookings;
     private final RepeatableCalls mRepeatable;
 
@@ -46,7 +46,7 @@
      * @param bookings calls that may not repeat
      * @param repeatable calls that may
      */
-    public PlainCallsService(FrontGate gate, Bookings bookings, RepeatableCalls repeatable) {
+    public PlainCallsService(RequestSupport gate, Bookings bookings, RepeatableCalls repeatable) {
         mGate = gate;
         mBookings = bookings;
         mRepeatable = repeatable;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/FrontGate.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/RequestSupport.java
@@ -24,7 +24,7 @@
 import org.cyclamenpaddle.router.problem.Problem;
 
 /** What every path towards callers does alike: ids, bodies, services in force, refusals. */
-public final class FrontGate {
+public final class RequestSupport {
 
     private final Incarnation mSelf;
     private final Blackboard mBlackboard;
@@ -40,7 +40,7 @@
      * @param metrics counts refusals
      * @param takesWork whether this host still takes new work
      */
-    public FrontGate(
+    public RequestSupport(
             Incarnation self,
             Blackboard blackboard,
             RouterMetrics metrics,
@@ -114,7 +114,7 @@
 
     /** Counts a refusal and returns its answer. */
     HttpResponse refuse(RequestId id, Refusal refusal) {
-        mMetrics.refused(refusal.reason());
+        mMetrics.recordRefusal(refusal.reason());
         return Problem.of(refusal).response(id.value());
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -270,9 +270,9 @@
         for (BackendId backend : given) {
             mBlackboard.grants().write(ledgers -> ledgers.remove(backend));
             mFormerRoles.remove(backend);
-            mMetrics.ownershipGiven();
+            mMetrics.ownershipReleased();
             mLog.log(
-                    LogEvent.OWNERSHIP_GIVEN,
+                    LogEvent.OWNERSHIP_RELEASED,
                     backend,
                     spec(backend)
                             .flatMap(mHosts::owner)
@@ -347,8 +347,8 @@
             mFormerRoles.put(spec.id(), kept);
         }
         ledgers.put(spec.id(), fresh);
-        mMetrics.ownershipTaken();
-        mLog.log(LogEvent.OWNERSHIP_TAKEN, spec.id(), lastOwner(spec.id()));
+        mMetrics.ownershipAcquired();
+        mLog.log(LogEvent.OWNERSHIP_ACQUIRED, spec.id(), lastOwner(spec.id()));
         return fresh;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricName.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricName.java
@@ -128,7 +128,7 @@
     }
 
     /** Returns one sentence on what it counts. */
-    public String meaning() {
+    public String description() {
         return mMeaning;
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
@@ -68,7 +68,7 @@
     }
 
     /** Counts a request that was taken. */
-    public void requestTaken(ServiceName service) {
+    public void recordRequest(ServiceName service) {
         meters(service).requests().increment();
     }
 
@@ -78,18 +78,18 @@
      * @param service its service
      * @param withinTargets whether both latency targets were met
      */
-    public void answered(ServiceName service, boolean withinTargets) {
+    public void recordResponse(ServiceName service, boolean withinTargets) {
         meters(service).answered().increment();
         meters(service).goodput().increment(withinTargets ? 1 : 0);
     }
 
     /** Counts a request that was refused or ended without its answer. */
-    public void refused(RefusalReason reason) {
+    public void recordRefusal(RefusalReason reason) {
         mRefusals.get(reason).increment();
     }
 
     /** Counts a try that the router repeats. */
-    public void retried(RetryReason reason) {
+    public void recordRetry(RetryReason reason) {
         mRetries.get(reason).increment();
     }
 
@@ -119,12 +119,12 @@
     }
 
     /** Counts an ownership of a backend server that this host took. */
-    public void ownershipTaken() {
+    public void ownershipAcquired() {
         mOwnershipMoves.get("taken").increment();
     }
 
     /** Counts an ownership of a backend server that this host gave. */
-    public void ownershipGiven() {
+    public void ownershipReleased() {
         mOwnershipMoves.get("given").increment();
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** Counts a keyed call by the outcome said to its caller. */
-    public void booking(RunOutcome outcome) {
+    public void recordBooking(RunOutcome outcome) {
         mBookings.get(outcome).increment();
     }
 
@@ -166,7 +166,7 @@
      *
      * @param sources readings, which must not block
      */
-    public void gauges(GaugeSources sources) {
+    public void registerGauges(GaugeSources sources) {
         gauge(MetricName.HELD_GRANTS, sources.heldGrants());
         gauge(MetricName.IN_FLIGHT, sources.requestsInFlight());
         gauge(MetricName.CONFIGURATION_VERSION, sources.configurationVersion());
@@ -206,14 +206,14 @@
 
     private Counter counter(MetricName name, Tags tags) {
         return Counter.builder(name.text())
-                .description(name.meaning())
+                .description(name.description())
                 .tags(tags)
                 .register(mRegistry);
     }
 
     private void gauge(MetricName name, DoubleSupplier reading) {
         Gauge.builder(name.text(), reading::getAsDouble)
-                .description(name.meaning())
+                .description(name.description())
                 .register(mRegistry);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
@@ -49,7 +49,7 @@
 
     private static Counter counter(MetricName name, ServiceName service, MeterRegistry registry) {
         return Counter.builder(name.text())
-                .description(name.meaning())
+                .description(name.description())
                 .tag(SERVICE, service.value())
                 .register(registry);
     }
@@ -57,7 +57,7 @@
     private static Timer timer(
             MetricName name, ServiceName service, Duration[] bounds, MeterRegistry registry) {
         return Timer.builder(name.text())
-                .description(name.meaning())
+                .description(name.description())
                 .tag(SERVICE, service.value())
                 .serviceLevelObjectives(bounds)
                 .register(registry);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeRefusal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeRefusal.java
@@ -7,12 +7,12 @@
  * Why a change was not made.
  *
  * @param refusal reason and detail
- * @param winner the object as it is, if another change came first and the object exists
+ * @param current the object as it is, if another change came first and the object exists
  */
-public record ChangeRefusal(Refusal refusal, Optional<StoredObject> winner) {
+public record ChangeRefusal(Refusal refusal, Optional<StoredObject> current) {
 
     public ChangeRefusal {
-        if (refusal == null || winner == null) {
+        if (refusal == null || current == null) {
             throw new IllegalArgumentException("change refusal needs a refusal");
         }
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
@@ -167,7 +167,10 @@
 
     private static Problem problem(ChangeRefusal refused) {
         Problem problem = Problem.of(refused.refusal());
-        return refused.winner().map(OperatorJson::winner).map(problem::with).orElse(problem);
+        return refused.current()
+                .map(OperatorJson::winner)
+                .map(problem::withMembers)
+                .orElse(problem);
     }
 
     private static Problem unknown(String what) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns this problem with further members. */
-    public Problem with(ObjectNode further) {
+    public Problem withMembers(ObjectNode further) {
         ObjectNode all = members.deepCopy();
         all.setAll(further);
         return new Problem(refusal, outcome, all);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
@@ -40,7 +40,7 @@
         mReceivedAt = receivedAt;
         mRecorder = recorder;
         mMetrics = metrics;
-        mMetrics.requestTaken(service.name());
+        mMetrics.recordRequest(service.name());
     }
 
     void asked(GrantRequest ask) {
@@ -105,12 +105,12 @@
     void finished(int tokens) {
         boolean inTime = inTime(tokens);
         mMetrics.tokensRelayed(mService.name(), tokens);
-        mMetrics.answered(mService.name(), inTime);
+        mMetrics.recordResponse(mService.name(), inTime);
         record(DecisionStep.ANSWERED, tokens + " tokens, " + (inTime ? "in time" : "late"));
     }
 
     void refused(Refusal refusal) {
-        mMetrics.refused(refusal.reason());
+        mMetrics.recordRefusal(refusal.reason());
         record(DecisionStep.REFUSED, refusal.reason().code() + " " + refusal.detail());
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -230,7 +230,7 @@
     @Override
     public void countRetry(RequestEffect.CountRetry effect) {
         mJournal.retried(effect.reason());
-        mServices.metrics().retried(effect.reason());
+        mServices.metrics().recordRetry(effect.reason());
     }
 
     @Override
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingKey.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingKey.java
@@ -19,13 +19,13 @@
     HOST_ADDRESS(
             "host",
             "address",
-            SettingType.IP_NUMBER,
+            SettingType.IP_ADDRESS,
             "IP number that this host listens on and that peers use to reach it."),
     HOST_HTTP_PORT("host", "http_port", ports(), whole(7_100), "Port for callers and operators."),
     HOST_PEER_PORT("host", "peer_port", ports(), whole(7_200), "Port for other entry hosts."),
 
     PLATFORM_ADDRESS(
-            "platform", "address", SettingType.IP_NUMBER, "IP number of the platform's service."),
+            "platform", "address", SettingType.IP_ADDRESS, "IP number of the platform's service."),
     PLATFORM_PORT("platform", "port", ports(), whole(7_000), "Port of the platform's service."),
     PLATFORM_TIMEOUT(
             "platform",
@@ -65,7 +65,7 @@
     LIMITS_RETRY_SHARE(
             "limits",
             "retry_share",
-            SettingType.SHARE,
+            SettingType.FRACTION,
             SettingRange.between(0, 1),
             share(0.1),
             "Retries allowed for each fresh request of a service."),
@@ -110,7 +110,7 @@
     ROUTING_POLICY(
             "routing",
             "policy",
-            SettingType.WORD,
+            SettingType.CHOICE,
             SettingRange.of(PlacementPolicy.values()),
             JsonNodeFactory.instance.textNode(PlacementPolicy.TIMED_GRANTS.name()),
             "Placement policy; all but TIMED_GRANTS are baselines for comparison."),
@@ -137,14 +137,14 @@
     LOG_FORMAT(
             "log",
             "format",
-            SettingType.WORD,
+            SettingType.CHOICE,
             SettingRange.of("human", "json"),
             JsonNodeFactory.instance.textNode("human"),
             "Form of log lines."),
     LOG_LEVEL(
             "log",
             "level",
-            SettingType.WORD,
+            SettingType.CHOICE,
             SettingRange.of("debug", "info", "warn", "error"),
             JsonNodeFactory.instance.textNode("info"),
             "Least severe level that is written.");
@@ -161,7 +161,7 @@
     }
 
     SettingKey(String section, String key, SettingRange range, JsonNode value, String description) {
-        this(section, key, SettingType.WHOLE, range, Optional.of(value), description);
+        this(section, key, SettingType.INTEGER, range, Optional.of(value), description);
     }
 
     SettingKey(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingType.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingType.java
@@ -14,14 +14,14 @@
         }
     },
     /** IP number; names are refused because entry hosts use no name service. */
-    IP_NUMBER("an IP number such as \"127.0.0.1\"") {
+    IP_ADDRESS("an IP number such as \"127.0.0.1\"") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
             return value.isTextual() && IpNumbers.valid(value.textValue());
         }
     },
     /** Whole number within its range. */
-    WHOLE("a whole number") {
+    INTEGER("a whole number") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
             return value.isIntegralNumber()
@@ -30,14 +30,14 @@
         }
     },
     /** Fraction within its range. */
-    SHARE("a number") {
+    FRACTION("a number") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
             return value.isNumber() && range.contains(value.doubleValue());
         }
     },
     /** One of a few words. */
-    WORD("one of") {
+    CHOICE("one of") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
             return value.isTextual() && range.words().contains(value.textValue());
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
@@ -50,7 +50,10 @@
         String output =
                 outputOf(
                         LogFormat.HUMAN,
-                        log -> log.log(LogEvent.PLATFORM_AWAY, "x\nCP1901 invariant broken"));
+                        log ->
+                                log.log(
+                                        LogEvent.PLATFORM_UNREACHABLE,
+                                        "x\nCP1901 invariant broken"));
 
         assertEquals(output.lines().count(), 1);
         assertTrue(output.contains("error=\"x CP1901 invariant broken\""), output);
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -19,7 +19,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().plainServices(2).hosts(2).configured();
+        mFleet = new TestFleet().plainServices(2).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpResponse;
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
-import org.cyclamenpaddle.router.fixture.OpenAnswer;
+import org.cyclamenpaddle.router.fixture.StreamingResponse;
 import org.cyclamenpaddle.router.fixture.TestFleet;
 import org.cyclamenpaddle.standins.engine.AnswerText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
@@ -24,7 +24,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(2, 3, EngineSettings.DEFAULT).hosts(2).configured();
+        mFleet = new TestFleet().engines(2, 3, EngineSettings.DEFAULT).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -37,7 +37,7 @@
     // already sent. The caller sees one whole answer, token for token that of no failure.
     @Test
     public void answerIsWholeAfterDecodeEngineCrash() {
-        OpenAnswer answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+        StreamingResponse answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
         int busy = busyDecode();
         mFleet.decode(busy).restartAfterCrash(200);
 
@@ -52,7 +52,7 @@
     // index by a new connection.
     @Test
     public void answerIsWholeAfterOpenStreamsGoSilent() {
-        OpenAnswer answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
+        StreamingResponse answer = mFleet.caller("h1").stream(PROMPT, TOKENS).awaitEvents(10);
 
         mFleet.decode(busyDecode()).silenceStreams();
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
@@ -26,7 +26,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(1, 1, EngineSettings.DEFAULT).hosts(2).configured();
+        mFleet = new TestFleet().engines(1, 1, EngineSettings.DEFAULT).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -60,7 +60,7 @@
     @Test
     public void freesMemoryWhenCallerLeavesDuringPrefill() {
         CompletableFuture<HttpResponse<String>> answer =
-                mFleet.caller("h1").completeLater(PROMPT.repeat(1_000), LONG_ANSWER);
+                mFleet.caller("h1").completeAsync(PROMPT.repeat(1_000), LONG_ANSWER);
         Await.until("prefill holds memory", () -> mFleet.prefill(1).heldPieces() > 0);
 
         answer.cancel(true);
@@ -75,7 +75,7 @@
     @Test
     public void freesMemoryWhenEntryHostDies() throws Exception {
         CompletableFuture<HttpResponse<InputStream>> answer =
-                mFleet.caller("h1").open(PROMPT, LONG_ANSWER);
+                mFleet.caller("h1").openStream(PROMPT, LONG_ANSWER);
         answer.get().body().read(new byte[100]);
         assertTrue(mFleet.decode(1).heldPieces() > 0);
 
@@ -88,7 +88,8 @@
     }
 
     private void leaveWhileStreaming() throws IOException {
-        HttpResponse<InputStream> answer = mFleet.caller("h1").open(PROMPT, LONG_ANSWER).join();
+        HttpResponse<InputStream> answer =
+                mFleet.caller("h1").openStream(PROMPT, LONG_ANSWER).join();
         answer.body().read(new byte[100]);
         assertTrue(mFleet.decode(1).heldPieces() > 0, "the answer is under way");
         answer.body().close();
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -28,7 +28,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(1, 1, EngineSettings.DEFAULT).hosts(3).configured();
+        mFleet = new TestFleet().engines(1, 1, EngineSettings.DEFAULT).hosts(3).configure();
         mFleet.operator("h1").create("preset", "peak", presetLike("peak"));
         mFleet.operator("h1").create("preset", "maintenance", presetLike("maintenance"));
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
@@ -26,7 +26,7 @@
                         .engines(ChaosFault.PREFILL, ChaosFault.DECODE, EngineSettings.DEFAULT)
                         .plainServices(ChaosFault.PLAIN)
                         .hosts(3)
-                        .configured();
+                        .configure();
     }
 
     @AfterMethod(alwaysRun = true)
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
@@ -45,7 +45,7 @@
                         .stopGrace(STOP_GRACE_MILLIS)
                         .engines(2, 2, EngineSettings.DEFAULT)
                         .processes(HOSTS.size())
-                        .configured();
+                        .configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -85,7 +85,7 @@
     @Test
     public void freesMemoryWhenHostProcessIsKilled() throws Exception {
         CompletableFuture<HttpResponse<InputStream>> answer =
-                mFleet.caller("h1").open(PROMPT, LONG_ANSWER);
+                mFleet.caller("h1").openStream(PROMPT, LONG_ANSWER);
         answer.get().body().read(new byte[100]);
         assertTrue(mFleet.heldPieces() > 0, "the answer is under way");
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
@@ -35,7 +35,7 @@
     public void start() {
         EngineSettings settings =
                 EngineSettings.fromJson("{\"requiresOrder\": true, \"modelLoadMillis\": 200}");
-        mFleet = new TestFleet().engines(1, 2, settings).hosts(3).configured();
+        mFleet = new TestFleet().engines(1, 2, settings).hosts(3).configure();
         awaitRoles(ORDINARY);
         awaitServed("h1");
     }
@@ -51,7 +51,7 @@
     @Test
     public void engineFinishesAnswersBeforeItsRoleIsSwapped() {
         CompletableFuture<HttpResponse<String>> answer =
-                mFleet.caller("h1").completeLater(PROMPT, TOKENS);
+                mFleet.caller("h1").completeAsync(PROMPT, TOKENS);
         String busy = awaitBusy();
 
         use(swapped(busy));
@@ -92,14 +92,16 @@
         String owner = owner("d1");
         String other = owner.equals("h1") ? "h2" : "h1";
         CompletableFuture<HttpResponse<String>> onFirst =
-                mFleet.caller(other).completeLater(PROMPT, TOKENS);
+                mFleet.caller(other).completeAsync(PROMPT, TOKENS);
         CompletableFuture<HttpResponse<String>> onSecond =
-                mFleet.caller(other).completeLater(PROMPT + "Again. ", TOKENS);
+                mFleet.caller(other).completeAsync(PROMPT + "Again. ", TOKENS);
         awaitBusy();
         use(other, swapped("d1"));
         Await.until(
                 "the owner changes d1",
-                () -> mFleet.kept("status/rollout/" + TestFleet.MODEL).contains("d1 " + owner));
+                () ->
+                        mFleet.storedText("status/rollout/" + TestFleet.MODEL)
+                                .contains("d1 " + owner));
 
         mFleet.killHost(owner);
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.StreamSupport;
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
-import org.cyclamenpaddle.router.fixture.CutRelay;
+import org.cyclamenpaddle.router.fixture.PartitionProxy;
 import org.cyclamenpaddle.router.fixture.TestFleet;
 import org.cyclamenpaddle.standins.engine.AnswerText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
@@ -28,17 +28,17 @@
     private static final List<String> HOSTS = List.of("h1", "h2", "h3");
 
     private TestFleet mFleet;
-    private CutRelay mRelay;
+    private PartitionProxy mRelay;
 
     @BeforeMethod
     public void start() {
         mFleet = new TestFleet();
-        mRelay = new CutRelay(mFleet.platform().port());
+        mRelay = new PartitionProxy(mFleet.platform().port());
         mFleet.platformThrough("h1", mRelay).engines(1, 5, EngineSettings.DEFAULT).plainServices(1);
         mFleet.startProcess("h1");
         mFleet.startHost("h2");
         mFleet.startHost("h3");
-        mFleet.configured();
+        mFleet.configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -55,7 +55,7 @@
         CompletableFuture<HttpResponse<String>> first = claimAndPause("k-claimed");
 
         HttpResponse<String> again = mFleet.caller("h2").book("k-claimed", "1");
-        mFleet.process("h1").goOn();
+        mFleet.process("h1").resume();
 
         awaitTrueAnswers("k-claimed", first, again);
     }
@@ -68,7 +68,7 @@
         awaitDead();
 
         HttpResponse<String> again = mFleet.caller("h2").book("k-buried", "1");
-        mFleet.process("h1").goOn();
+        mFleet.process("h1").resume();
 
         awaitTrueAnswers("k-buried", first, again);
     }
@@ -85,7 +85,7 @@
         HttpResponse<String> early = mFleet.caller("h2").book("k-called", "1");
         Await.until("the booking ran", () -> mFleet.runs("k-called") > 0);
         HttpResponse<String> late = mFleet.caller("h3").book("k-called", "1");
-        mFleet.process("h1").goOn();
+        mFleet.process("h1").resume();
 
         awaitTrueAnswers("k-called", first, early, late);
         assertEquals(mFleet.runs("k-called"), 1);
@@ -101,7 +101,7 @@
         awaitDead();
         Await.until("others own all", () -> owners("h2").noneMatch("h1"::equals));
 
-        mFleet.process("h1").goOn();
+        mFleet.process("h1").resume();
 
         for (String host : HOSTS) {
             Await.until(
@@ -120,11 +120,11 @@
 
     private CompletableFuture<HttpResponse<String>> claimAndPause(String key) {
         long before = mFleet.platform().revision();
-        mRelay.holdAnswersToWrites();
+        mRelay.holdWriteResponses();
         CompletableFuture<HttpResponse<String>> first = book("h1", key);
         Await.until("the claim is stored", () -> mFleet.platform().revision() > before);
         mFleet.process("h1").pause();
-        mRelay.releaseAnswers();
+        mRelay.releaseResponses();
         assertEquals(mFleet.runs(key), 0);
         return first;
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
@@ -26,7 +26,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(1, 2, EngineSettings.DEFAULT).hosts(2).configured();
+        mFleet = new TestFleet().engines(1, 2, EngineSettings.DEFAULT).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -39,7 +39,7 @@
     @Test
     public void hostFinishesAnswersBeforeItLeaves() {
         CompletableFuture<HttpResponse<String>> answer =
-                mFleet.caller("h1").completeLater(PROMPT, TOKENS);
+                mFleet.caller("h1").completeAsync(PROMPT, TOKENS);
         Await.until("an engine is busy", () -> mFleet.heldPieces() > 0);
 
         CompletableFuture<Void> stopped = mFleet.host("h1").stop();
@@ -59,7 +59,7 @@
     @Test
     public void drainingServerFinishesAndGetsNothingNew() {
         CompletableFuture<HttpResponse<String>> answer =
-                mFleet.caller("h1").completeLater(PROMPT, TOKENS);
+                mFleet.caller("h1").completeAsync(PROMPT, TOKENS);
         Await.until("a decode engine is busy", () -> busy(1) || busy(2));
         int leaving = busy(1) ? 1 : 2;
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
@@ -6,8 +6,8 @@
 import java.net.http.HttpResponse;
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
-import org.cyclamenpaddle.router.fixture.CutRelay;
 import org.cyclamenpaddle.router.fixture.Operator;
+import org.cyclamenpaddle.router.fixture.PartitionProxy;
 import org.cyclamenpaddle.router.fixture.TestFleet;
 import org.cyclamenpaddle.standins.engine.AnswerText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
@@ -22,17 +22,17 @@
     private static final String PROMPT = "Sprinkler valves tested in Bunbury. ";
 
     private TestFleet mFleet;
-    private CutRelay mRelay;
+    private PartitionProxy mRelay;
 
     @BeforeMethod
     public void start() {
         mFleet = new TestFleet();
-        mRelay = new CutRelay(mFleet.platform().port());
+        mRelay = new PartitionProxy(mFleet.platform().port());
         mFleet.platformThrough("h1", mRelay)
                 .engines(1, 1, EngineSettings.DEFAULT)
                 .plainServices(1)
                 .hosts(2)
-                .configured();
+                .configure();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -46,7 +46,7 @@
     // again it books by itself, with nobody's help.
     @Test
     public void cutHostServesRefusesBookingsAndComesBack() {
-        mRelay.cut();
+        mRelay.partition();
 
         for (int i = 0; i < ROUNDS; i++) {
             assertServes(PROMPT + i);
@@ -70,13 +70,13 @@
     @Test
     public void claimWhoseAnswerNeverComesRunsOnceAtMost() {
         long before = mFleet.platform().revision();
-        mRelay.holdAnswersToWrites();
+        mRelay.holdWriteResponses();
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-held", "3");
         assertEquals(mFleet.platform().revision() > before, true, "the claim is stored");
         assertTrueOutcome(first, "k-held");
-        mRelay.cut();
-        mRelay.releaseAnswers();
+        mRelay.partition();
+        mRelay.releaseResponses();
         assertTrueOutcome(mFleet.caller("h2").book("k-held", "3"), "k-held");
         mRelay.heal();
         Await.until(
@@ -90,7 +90,7 @@
     // is cut off hears of it from its peer, or at the latest when the network heals.
     @Test
     public void cutHostLearnsChangesMadeElsewhere() {
-        mRelay.cut();
+        mRelay.partition();
 
         mFleet.operator("h2").drain("b1");
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
@@ -28,7 +28,7 @@
 
     @BeforeMethod
     public void start() {
-        mFleet = new TestFleet().engines(1, 2, EngineSettings.DEFAULT).hosts(2).configured();
+        mFleet = new TestFleet().engines(1, 2, EngineSettings.DEFAULT).hosts(2).configure();
     }
 
     @AfterMethod(alwaysRun = true)
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/metric/RouterMetricsTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/metric/RouterMetricsTest.java
@@ -71,8 +71,8 @@
     public void lateAnswersAreNoGoodput() {
         RouterMetrics metrics = new RouterMetrics();
 
-        metrics.answered(SERVICE, true);
-        metrics.answered(SERVICE, false);
+        metrics.recordResponse(SERVICE, true);
+        metrics.recordResponse(SERVICE, false);
 
         String scraped = metrics.scrape();
         assertTrue(scraped.contains("cyclamenpaddle_answered_total{service=\"malt-reader\"} 2.0"));
@@ -83,9 +83,9 @@
     public void countsByReasonForTheStatusReport() {
         RouterMetrics metrics = new RouterMetrics();
 
-        metrics.refused(RefusalReason.QUEUE_FULL);
-        metrics.refused(RefusalReason.QUEUE_FULL);
-        metrics.retried(RetryReason.ENGINE_FULL);
+        metrics.recordRefusal(RefusalReason.QUEUE_FULL);
+        metrics.recordRefusal(RefusalReason.QUEUE_FULL);
+        metrics.recordRetry(RetryReason.ENGINE_FULL);
 
         assertEquals(metrics.refusals().get(RefusalReason.QUEUE_FULL), Long.valueOf(2));
         assertEquals(metrics.refusals().get(RefusalReason.STOPPING), Long.valueOf(0));
@@ -94,8 +94,8 @@
 
     private static RouterMetrics used() {
         RouterMetrics metrics = new RouterMetrics();
-        metrics.requestTaken(SERVICE);
-        metrics.answered(SERVICE, true);
+        metrics.recordRequest(SERVICE);
+        metrics.recordResponse(SERVICE, true);
         metrics.tokensRelayed(SERVICE, 3);
         metrics.prefillComputed(SERVICE, 100);
         metrics.prefillWasted(SERVICE, 10);
@@ -103,8 +103,8 @@
         metrics.interToken(SERVICE, 20);
         metrics.badPeerFrame("TOO_LONG");
         metrics.peerFrameDropped("QUEUE_FULL");
-        metrics.booking(RunOutcome.RAN);
-        metrics.gauges(new GaugeSources(() -> 1, () -> 2, () -> 3, () -> 4));
+        metrics.recordBooking(RunOutcome.RAN);
+        metrics.registerGauges(new GaugeSources(() -> 1, () -> 2, () -> 3, () -> 4));
         return metrics;
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
@@ -85,7 +85,7 @@
                 DocPage.code(name.text()),
                 name.kind().code(),
                 name.tags().stream().map(DocPage::code).collect(Collectors.joining(", ")),
-                name.meaning());
+                name.description());
     }
 
     private static List<String> row(RefusalReason reason) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/problem/ProblemTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/problem/ProblemTest.java
@@ -50,7 +50,7 @@
         Problem problem =
                 Problem.of(RefusalReason.BACKEND_FAILED, "")
                         .withOutcome(RunOutcome.NOT_RUN)
-                        .with(JsonNodeFactory.instance.objectNode().put("winner", 7));
+                        .withMembers(JsonNodeFactory.instance.objectNode().put("winner", 7));
 
         JsonNode document = new ObjectMapper().readTree(problem.document());
         assertEquals(document.path("outcome").asText(), "not-run");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/settings/SettingsReaderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/settings/SettingsReaderTest.java
@@ -85,7 +85,7 @@
         SettingsError error = SettingsReader.parse("a.toml", text).getLeft();
 
         assertEquals(error.file(), "a.toml");
-        assertTrue(error.where().startsWith(where), error.message());
+        assertTrue(error.location().startsWith(where), error.message());
         assertTrue(error.problem().contains(problem), error.message());
         assertTrue(error.allowed().contains(allowed), error.message());
     }
@@ -96,7 +96,7 @@
 
         SettingsError error = SettingsReader.parse("a.toml", text).getLeft();
 
-        assertEquals(error.where(), "settings");
+        assertEquals(error.location(), "settings");
         assertTrue(error.problem().contains("both 7200"), error.message());
         assertTrue(error.allowed().contains("fit each other"), error.message());
     }
@@ -106,7 +106,7 @@
         SettingsError error =
                 SettingsReader.parse("a.toml", LEAST.replace("name =", "#")).getLeft();
 
-        assertEquals(error.where(), "host.name");
+        assertEquals(error.location(), "host.name");
         assertTrue(error.problem().contains("missing"), error.message());
     }
 
@@ -114,6 +114,6 @@
     public void refusesAnUnreadableFile() throws IOException {
         Path directory = Files.createTempDirectory("settings");
 
-        assertEquals(SettingsReader.read(directory).getLeft().where(), "file");
+        assertEquals(SettingsReader.read(directory).getLeft().location(), "file");
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
@@ -27,7 +27,7 @@
                         .engines(1, 2, EngineSettings.DEFAULT)
                         .plainServices(2)
                         .hosts(2)
-                        .configured();
+                        .configure();
     }
 
     @AfterClass(alwaysRun = true)
