--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionBody.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionBody.java
@@ -10,16 +10,16 @@
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
 /**
- * The body of {@code POST /v1/completions}, checked.
+ * Validated body of {@code POST /v1/completions}.
  *
  * @param model name of the service
  * @param prompt text of the prompt, not empty
- * @param maxTokens most tokens to generate, 1 to {@value #MOST_TOKENS}
+ * @param maxTokens maximum number of tokens to generate, 1 to {@value #MAX_TOKENS}
  * @param stream whether the caller wants server-sent events
  */
 record CompletionBody(String model, String prompt, int maxTokens, boolean stream) {
 
-    private static final int MOST_TOKENS = 16_384;
+    private static final int MAX_TOKENS = 16_384;
     private static final int DEFAULT_TOKENS = 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -28,17 +28,17 @@
         try {
             body = MAPPER.readTree(text);
         } catch (JsonProcessingException malformed) {
-            return bad("The body is no JSON: " + malformed.getOriginalMessage());
+            return badBody("The body is not valid JSON: " + malformed.getOriginalMessage());
         }
         if (body == null || !body.isObject()) {
-            return bad("The body must be a JSON object.");
+            return badBody("The body must be a JSON object.");
         }
-        return wrong(body)
-                .<Either<Refusal, CompletionBody>>map(CompletionBody::bad)
-                .orElseGet(() -> Either.right(checked(body)));
+        return findError(body)
+                .<Either<Refusal, CompletionBody>>map(CompletionBody::badBody)
+                .orElseGet(() -> Either.right(fromValid(body)));
     }
 
-    private static CompletionBody checked(JsonNode body) {
+    private static CompletionBody fromValid(JsonNode body) {
         return new CompletionBody(
                 body.get("model").textValue(),
                 body.get("prompt").textValue(),
@@ -46,32 +46,32 @@
                 body.has("stream") && body.get("stream").booleanValue());
     }
 
-    private static Optional<String> wrong(JsonNode body) {
+    private static Optional<String> findError(JsonNode body) {
         if (type(body, "model") != JsonNodeType.STRING) {
             return Optional.of("Member 'model' must be a string that names the service.");
         }
         if (type(body, "prompt") != JsonNodeType.STRING || body.get("prompt").asText().isEmpty()) {
-            return Optional.of("Member 'prompt' must be a string that is not empty.");
+            return Optional.of("Member 'prompt' must be a non-empty string.");
         }
         if (body.has("stream") && type(body, "stream") != JsonNodeType.BOOLEAN) {
             return Optional.of("Member 'stream' must be true or false.");
         }
         if (body.has("max_tokens") && !tokensInRange(body.get("max_tokens"))) {
             return Optional.of(
-                    "Member 'max_tokens' must be a whole number from 1 to " + MOST_TOKENS + ".");
+                    "Member 'max_tokens' must be an integer from 1 to " + MAX_TOKENS + ".");
         }
         return Optional.empty();
     }
 
     private static boolean tokensInRange(JsonNode node) {
-        return node.isInt() && node.intValue() >= 1 && node.intValue() <= MOST_TOKENS;
+        return node.isInt() && node.intValue() >= 1 && node.intValue() <= MAX_TOKENS;
     }
 
     private static JsonNodeType type(JsonNode body, String member) {
         return body.path(member).getNodeType();
     }
 
-    private static Either<Refusal, CompletionBody> bad(String detail) {
+    private static Either<Refusal, CompletionBody> badBody(String detail) {
         return Either.left(Refusal.of(RefusalReason.BAD_BODY, detail));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionSink.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionSink.java
@@ -14,7 +14,10 @@
 import org.cyclamenpaddle.router.problem.Problem;
 import org.cyclamenpaddle.router.request.ResponseSink;
 
-/** Writes the answer of a completion to its caller, token by token or as a whole. */
+/**
+ * Writes the response of a completion to the caller, either streamed token by token or as one
+ * document.
+ */
 abstract class CompletionSink implements ResponseSink {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,7 +34,7 @@
 
     static ResponseSink of(
             RequestId request, String model, boolean stream, HttpResponseWriter writer) {
-        return stream ? new Streamed(request, model, writer) : new Whole(request, model, writer);
+        return stream ? new Streamed(request, model, writer) : new Buffered(request, model, writer);
     }
 
     ObjectNode document(String text, Optional<String> finishReason) {
@@ -70,7 +73,7 @@
         close();
     }
 
-    /** Server-sent events, one for each token. */
+    /** Streams server-sent events, one for each token. */
     private static final class Streamed extends CompletionSink {
 
         private boolean mStarted;
@@ -99,7 +102,8 @@
                 writeProblem(refusal);
                 return;
             }
-            // The status line has left; without an event of its own a cut answer would look whole.
+            // The status line has already been sent; without an explicit error event the caller
+            // would take a truncated response for a complete one.
             write("event: error\n");
             event(Problem.of(refusal).document());
             close();
@@ -117,12 +121,12 @@
         }
     }
 
-    /** One JSON document at the end. */
-    private static final class Whole extends CompletionSink {
+    /** Buffers the tokens and writes one JSON document at the end. */
+    private static final class Buffered extends CompletionSink {
 
         private final StringBuilder mText = new StringBuilder();
 
-        Whole(RequestId request, String model, HttpResponseWriter writer) {
+        Buffered(RequestId request, String model, HttpResponseWriter writer) {
             super(request, model, writer);
         }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/CompletionsService.java
@@ -18,43 +18,43 @@
 import org.cyclamenpaddle.core.text.PromptText;
 import org.cyclamenpaddle.router.request.ModelRequests;
 
-/** {@code POST /v1/completions}. */
+/** HTTP service for {@code POST /v1/completions}. */
 public final class CompletionsService implements HttpService {
 
     private static final String TEAM_HEADER = "x-team";
     private static final String DEFAULT_TEAM = "default";
 
-    private final RequestSupport mGate;
+    private final RequestSupport mSupport;
     private final ModelRequests mRequests;
-    private final int mMostPromptTokens;
+    private final int mMaxPromptTokens;
 
     /**
      * Creates the service.
      *
-     * @param gate what every path of the front checks
+     * @param support checks that all caller-facing services share
      * @param requests runs the requests
-     * @param mostPromptTokens longest prompt taken, in estimated tokens
+     * @param maxPromptTokens longest accepted prompt, in estimated tokens
      */
-    public CompletionsService(RequestSupport gate, ModelRequests requests, int mostPromptTokens) {
-        mGate = gate;
+    public CompletionsService(RequestSupport support, ModelRequests requests, int maxPromptTokens) {
+        mSupport = support;
         mRequests = requests;
-        mMostPromptTokens = mostPromptTokens;
+        mMaxPromptTokens = maxPromptTokens;
     }
 
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
-        RequestId id = mGate.newRequest();
+        RequestId id = mSupport.newRequest();
         return HttpResponse.of(
-                mGate.aggregate(request)
+                mSupport.aggregate(request)
                         .thenApply(
                                 body ->
-                                        body.flatMap(whole -> call(id, whole))
+                                        body.flatMap(aggregated -> call(id, aggregated))
                                                 .fold(
-                                                        refusal -> mGate.refuse(id, refusal),
+                                                        refusal -> mSupport.refuse(id, refusal),
                                                         this::run)));
     }
 
-    /** A call and how its caller wants the answer. */
+    /** A parsed call, and whether the caller wants its response streamed. */
     private record Parsed(ModelRequests.Call call, boolean stream) {}
 
     private Either<Refusal, Parsed> call(RequestId id, AggregatedHttpRequest request) {
@@ -68,14 +68,14 @@
     private Either<Refusal, Parsed> parsed(
             RequestId id, AggregatedHttpRequest request, CompletionBody body, ServiceSpec service) {
         int tokens = PromptText.tokens(body.prompt());
-        if (tokens > mMostPromptTokens) {
+        if (tokens > mMaxPromptTokens) {
             return Either.left(
                     Refusal.of(
                             RefusalReason.PROMPT_TOO_LONG,
                             "The prompt has about "
                                     + tokens
                                     + " tokens; the limit is "
-                                    + mMostPromptTokens
+                                    + mMaxPromptTokens
                                     + "."));
         }
         return team(request)
@@ -89,25 +89,25 @@
 
     private Either<Refusal, TeamName> team(AggregatedHttpRequest request) {
         String name = request.headers().get(TEAM_HEADER, DEFAULT_TEAM);
-        return mGate.name(name, TeamName::new, "Header X-Team");
+        return mSupport.parseName(name, TeamName::new, "Header X-Team");
     }
 
     private Either<Refusal, ServiceSpec> service(String model) {
-        return mGate.name(model, ServiceName::new, "Member 'model'")
-                .flatMap(name -> mGate.service(name, ServiceKind.MODEL));
+        return mSupport.parseName(model, ServiceName::new, "Member 'model'")
+                .flatMap(name -> mSupport.service(name, ServiceKind.MODEL));
     }
 
     private HttpResponse run(Parsed parsed) {
         ModelRequests.Call call = parsed.call();
         HttpResponseWriter writer = HttpResponse.streaming();
-        // Completes abnormally when the caller's connection or stream has gone; what the request
-        // holds on engines is given back then, at whichever step it is.
+        // Completes exceptionally when the caller disconnects or resets its stream; the resources
+        // that the request holds on engines are then released, whichever step it has reached.
         writer.whenComplete()
                 .whenComplete(
                         (done, failure) ->
                                 Optional.ofNullable(failure)
                                         .ifPresent(
-                                                gone -> mRequests.callerDisconnected(call.id())));
+                                                cause -> mRequests.callerDisconnected(call.id())));
         mRequests.start(
                 call,
                 CompletionSink.of(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
@@ -26,37 +26,38 @@
 import org.cyclamenpaddle.router.booking.RepeatableCalls;
 import org.cyclamenpaddle.router.problem.Problem;
 
-/** {@code ANY /v1/services/{service}/{path}}: calls of plain services. */
+/** HTTP service for calls of plain services, {@code ANY /v1/services/{service}/{path}}. */
 public final class PlainCallsService implements HttpService {
 
-    /** Path that this service is bound below. */
+    /** Path prefix that this service is bound to. */
     public static final String PREFIX = "/v1/services/";
 
     private static final String IDEMPOTENCY_KEY = "idempotency-key";
     private static final String REPLAYED = "x-replayed";
 
-    private final RequestSupport mGate;
+    private final RequestSupport mSupport;
     private final Bookings mBookings;
     private final RepeatableCalls mRepeatable;
 
     /**
      * Creates the service.
      *
-     * @param gate what every path of the front checks
-     * @param bookings calls that may not repeat
-     * @param repeatable calls that may
+     * @param support checks that all caller-facing services share
+     * @param bookings runs calls that must not be repeated
+     * @param repeatable runs calls that may be repeated
      */
-    public PlainCallsService(RequestSupport gate, Bookings bookings, RepeatableCalls repeatable) {
-        mGate = gate;
+    public PlainCallsService(
+            RequestSupport support, Bookings bookings, RepeatableCalls repeatable) {
+        mSupport = support;
         mBookings = bookings;
         mRepeatable = repeatable;
     }
 
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
-        RequestId id = mGate.newRequest();
+        RequestId id = mSupport.newRequest();
         return HttpResponse.of(
-                mGate.aggregate(request)
+                mSupport.aggregate(request)
                         .thenCompose(
                                 body ->
                                         body.flatMap(this::target)
@@ -65,7 +66,7 @@
                                                         target -> run(id, target))));
     }
 
-    /** What a request addresses. */
+    /** The service and the call that a request addresses. */
     private record Target(
             ServiceSpec service,
             PlainCall call,
@@ -91,8 +92,8 @@
                             "The path must be " + PREFIX + "{service}/{path}."));
         }
         String pathAndQuery = below.substring(slash);
-        return mGate.name(below.substring(0, slash), ServiceName::new, "Path")
-                .flatMap(name -> mGate.service(name, ServiceKind.PLAIN))
+        return mSupport.parseName(below.substring(0, slash), ServiceName::new, "Path")
+                .flatMap(name -> mSupport.service(name, ServiceKind.PLAIN))
                 .flatMap(service -> call(service, pathAndQuery, request));
     }
 
@@ -132,15 +133,15 @@
         return mRepeatable
                 .start(call)
                 .thenApply(
-                        answer ->
-                                answer.fold(
-                                        refusal -> mGate.refuse(id, refusal),
-                                        answered ->
-                                                answer(
+                        result ->
+                                result.fold(
+                                        refusal -> mSupport.refuse(id, refusal),
+                                        response ->
+                                                buildResponse(
                                                         id,
-                                                        answered.status(),
-                                                        answered.contentType(),
-                                                        answered.body(),
+                                                        response.status(),
+                                                        response.contentType(),
+                                                        response.body(),
                                                         false)));
     }
 
@@ -151,8 +152,8 @@
                     id,
                     Refusal.of(
                             RefusalReason.BAD_IDEMPOTENCY_KEY,
-                            "This call may not repeat: header Idempotency-Key must have 1 to 128"
-                                    + " printable characters."));
+                            "This call must not be repeated: header Idempotency-Key must have 1 to"
+                                    + " 128 printable characters."));
         }
         Bookings.KeyedCall call =
                 new Bookings.KeyedCall(
@@ -167,19 +168,19 @@
     }
 
     private static HttpResponse response(RequestId id, BookingReply reply) {
-        if (reply instanceof BookingReply.Completed answered) {
-            return answer(
+        if (reply instanceof BookingReply.Completed completed) {
+            return buildResponse(
                     id,
-                    answered.response().status(),
-                    answered.response().contentType(),
-                    Bookings.bytes(answered.response().body()),
-                    answered.replayed());
+                    completed.response().status(),
+                    completed.response().contentType(),
+                    Bookings.bytes(completed.response().body()),
+                    completed.replayed());
         }
         BookingReply.Refused refused = (BookingReply.Refused) reply;
         return Problem.of(refused.refusal()).withOutcome(reply.outcome()).response(id.value());
     }
 
-    private static HttpResponse answer(
+    private static HttpResponse buildResponse(
             RequestId id, int status, String contentType, byte[] body, boolean replayed) {
         ResponseHeadersBuilder headers =
                 ResponseHeaders.builder(HttpStatus.valueOf(status))
@@ -194,6 +195,6 @@
     }
 
     private CompletableFuture<HttpResponse> refused(RequestId id, Refusal refusal) {
-        return CompletableFuture.completedFuture(mGate.refuse(id, refusal));
+        return CompletableFuture.completedFuture(mSupport.refuse(id, refusal));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/ProblemErrorHandler.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/ProblemErrorHandler.java
@@ -13,7 +13,9 @@
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 import org.cyclamenpaddle.router.problem.Problem;
 
-/** Answers what the HTTP library itself refuses in the same form as every other refusal. */
+/**
+ * Renders errors raised by the HTTP library itself as problem documents, as every other refusal.
+ */
 public final class ProblemErrorHandler implements ServerErrorHandler {
 
     private final Consumer<RefusalReason> mCounter;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/RequestSupport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/RequestSupport.java
@@ -23,49 +23,52 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.router.problem.Problem;
 
-/** What every path towards callers does alike: ids, bodies, services in force, refusals. */
+/**
+ * Operations that all caller-facing services share: assigning request ids, reading bodies, looking
+ * up services in force and writing refusals.
+ */
 public final class RequestSupport {
 
     private final Incarnation mSelf;
     private final Blackboard mBlackboard;
     private final RouterMetrics mMetrics;
-    private final BooleanSupplier mTakesWork;
+    private final BooleanSupplier mAcceptsWork;
     private final AtomicLong mRequests = new AtomicLong();
 
     /**
-     * Creates the gate.
+     * Creates the support object.
      *
      * @param self this host's incarnation, part of every request id
      * @param blackboard tables of this host
      * @param metrics counts refusals
-     * @param takesWork whether this host still takes new work
+     * @param acceptsWork whether this host still accepts new work
      */
     public RequestSupport(
             Incarnation self,
             Blackboard blackboard,
             RouterMetrics metrics,
-            BooleanSupplier takesWork) {
+            BooleanSupplier acceptsWork) {
         mSelf = self;
         mBlackboard = blackboard;
         mMetrics = metrics;
-        mTakesWork = takesWork;
+        mAcceptsWork = acceptsWork;
     }
 
-    /** Returns a request id never used before. */
+    /** Returns a new, unique request id. */
     RequestId newRequest() {
         return new RequestId(mSelf + ":r" + mRequests.incrementAndGet());
     }
 
-    /** Reads the whole body, or tells why it can't be had. */
+    /** Reads the whole body, or returns the reason why it cannot be read. */
     CompletableFuture<Either<Refusal, AggregatedHttpRequest>> aggregate(HttpRequest request) {
         return request.aggregate().handle(this::body);
     }
 
     private Either<Refusal, AggregatedHttpRequest> body(
-            AggregatedHttpRequest whole, Throwable failure) {
+            AggregatedHttpRequest aggregated, Throwable failure) {
         if (failure == null) {
-            return mTakesWork.getAsBoolean()
-                    ? Either.right(whole)
+            return mAcceptsWork.getAsBoolean()
+                    ? Either.right(aggregated)
                     : Either.left(Refusal.of(RefusalReason.STOPPING, ""));
         }
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -75,11 +78,11 @@
                             RefusalReason.BODY_TOO_LONG,
                             "The limit is " + tooLarge.maxContentLength() + " bytes."));
         }
-        return Either.left(Refusal.of(RefusalReason.BAD_BODY, "The body was cut off: " + cause));
+        return Either.left(Refusal.of(RefusalReason.BAD_BODY, "The body was truncated: " + cause));
     }
 
-    /** Reads an identifier, or refuses with what is wrong with it. */
-    <T> Either<Refusal, T> name(String text, Function<String, T> type, String where) {
+    /** Parses an identifier, or returns a refusal that says what is wrong with it. */
+    <T> Either<Refusal, T> parseName(String text, Function<String, T> type, String where) {
         try {
             return Either.right(type.apply(text));
         } catch (IllegalArgumentException malformed) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Returns a service that the preset in force serves. */
+    /** Returns a service that the preset in force assigns to a backend server. */
     Either<Refusal, ServiceSpec> service(ServiceName name, ServiceKind kind) {
         ConfigurationView view = mBlackboard.view();
         if (view.presetInForce().isEmpty()) {
@@ -112,7 +115,7 @@
         return Either.right(service);
     }
 
-    /** Counts a refusal and returns its answer. */
+    /** Counts a refusal and returns its HTTP response. */
     HttpResponse refuse(RequestId id, Refusal refusal) {
         mMetrics.recordRefusal(refusal.reason());
         return Problem.of(refusal).response(id.value());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/StatusServices.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/StatusServices.java
@@ -10,22 +10,22 @@
 import org.cyclamenpaddle.router.metric.RouterMetrics;
 import org.cyclamenpaddle.router.problem.Problem;
 
-/** {@code /healthz}, {@code /readyz} and {@code /metrics}. */
+/** HTTP services for {@code /healthz}, {@code /readyz} and {@code /metrics}. */
 public final class StatusServices {
 
     private static final MediaType METRICS = MediaType.parse("text/plain; version=0.0.4");
 
     private StatusServices() {}
 
-    /** Answers 200 as long as the process lives. */
+    /** Responds with 200 as long as the process is running. */
     public static HttpService health() {
         return (context, request) -> HttpResponse.of(HttpStatus.OK, MediaType.PLAIN_TEXT, "ok\n");
     }
 
     /**
-     * Answers 200 if the host takes new work.
+     * Responds with 200 if the host accepts new work.
      *
-     * @param notReady why it does not; empty if it does
+     * @param notReady the reason why the host is not ready; empty if it is ready
      */
     public static HttpService readiness(Supplier<Optional<Refusal>> notReady) {
         return (context, request) ->
@@ -37,7 +37,7 @@
                                                 HttpStatus.OK, MediaType.PLAIN_TEXT, "ready\n"));
     }
 
-    /** Answers with all metrics. */
+    /** Responds with all metrics in the Prometheus text format. */
     public static HttpService metrics(RouterMetrics metrics) {
         return (context, request) -> HttpResponse.of(HttpStatus.OK, METRICS, metrics.scrape());
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP towards callers: completions, calls of plain services, health and metrics. */
+/** Caller-facing HTTP services: completions, calls of plain services, health and metrics. */
 package org.cyclamenpaddle.router.front;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/Problem.java
@@ -16,15 +16,15 @@
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 
 /**
- * A refusal as a problem document.
+ * A refusal as a problem document of type {@code application/problem+json}.
  *
- * @param refusal what is refused and why
- * @param outcome what became of the call; the reason's own unless the caller knows better
- * @param members further members of the document
+ * @param refusal reason and detail of the refusal
+ * @param outcome whether the call ran; the outcome that the reason implies unless more is known
+ * @param members additional members of the document
  */
 public record Problem(Refusal refusal, RunOutcome outcome, ObjectNode members) {
 
-    /** Header that names the request on every answer. */
+    /** Header that carries the request id on every response. */
     public static final String REQUEST_ID_HEADER = "x-request-id";
 
     /** Media type of problem documents. */
@@ -35,35 +35,38 @@
 
     public Problem {
         if (refusal == null || outcome == null || members == null) {
-            throw new IllegalArgumentException("problem needs a refusal and an outcome");
+            throw new IllegalArgumentException(
+                    "refusal, outcome and members of a problem must not be null");
         }
         members = members.deepCopy();
     }
 
-    /** Returns the problem of a refusal with the outcome that its reason implies. */
+    /** Creates the problem for a refusal, with the outcome that its reason implies. */
     public static Problem of(Refusal refusal) {
         return new Problem(
                 refusal, refusal.reason().outcome(), JsonNodeFactory.instance.objectNode());
     }
 
-    /** Returns the problem of a reason with a detail. */
+    /** Creates the problem for a reason with a detail message. */
     public static Problem of(RefusalReason reason, String detail) {
         return of(Refusal.of(reason, detail));
     }
 
-    /** Returns this problem with another outcome, where more is known than the reason implies. */
+    /** Returns a copy with another outcome, where more is known than the reason implies. */
     public Problem withOutcome(RunOutcome known) {
         return new Problem(refusal, known, members);
     }
 
-    /** Returns this problem with further members. */
-    public Problem withMembers(ObjectNode further) {
+    /** Returns a copy with additional members. */
+    public Problem withMembers(ObjectNode additional) {
         ObjectNode all = members.deepCopy();
-        all.setAll(further);
+        all.setAll(additional);
         return new Problem(refusal, outcome, all);
     }
 
-    /** Returns the document as JSON text, also the data of a stream's {@code error} event. */
+    /**
+     * Returns the document as JSON text, which is also the data of a stream's {@code error} event.
+     */
     public String document() {
         RefusalReason reason = refusal.reason();
         ObjectNode document = MAPPER.createObjectNode();
@@ -77,18 +80,18 @@
         return document.toString();
     }
 
-    /** Returns the HTTP answer as one piece, without a request id. */
+    /** Returns the aggregated HTTP response, without a request id. */
     public AggregatedHttpResponse aggregated() {
         return AggregatedHttpResponse.of(headers().build(), HttpData.ofUtf8(document()));
     }
 
-    /** Returns the HTTP answer, without a request id. */
+    /** Returns the HTTP response, without a request id. */
     public HttpResponse response() {
         return HttpResponse.of(headers().build(), HttpData.ofUtf8(document()));
     }
 
     /**
-     * Returns the HTTP answer.
+     * Returns the HTTP response with a request id.
      *
      * @param requestId value of {@value #REQUEST_ID_HEADER}
      */
@@ -97,7 +100,7 @@
     }
 
     /**
-     * Returns the headers of the HTTP answer, for a response that is written in parts.
+     * Returns the headers of the HTTP response, for a response that is written in parts.
      *
      * @param requestId value of {@value #REQUEST_ID_HEADER}
      */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/problem/package-info.java
@@ -1,2 +1,2 @@
-/** Refusals as HTTP answers of type {@code application/problem+json}. */
+/** Refusals as HTTP responses of type {@code application/problem+json}. */
 package org.cyclamenpaddle.router.problem;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/problem/ProblemTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/problem/ProblemTest.java
@@ -20,13 +20,13 @@
     public void carriesReasonOutcomeAndRetryAfter() throws IOException {
         Refusal refusal = new Refusal(RefusalReason.QUEUE_FULL, "256 wait for malt-reader", 1_200);
 
-        AggregatedHttpResponse answer = Problem.of(refusal).response("r-1").aggregate().join();
+        AggregatedHttpResponse response = Problem.of(refusal).response("r-1").aggregate().join();
 
-        JsonNode document = new ObjectMapper().readTree(answer.contentUtf8());
-        assertEquals(answer.status().code(), 503);
-        assertEquals(answer.contentType(), Problem.MEDIA_TYPE);
-        assertEquals(answer.headers().get(HttpHeaderNames.RETRY_AFTER), "2");
-        assertEquals(answer.headers().get(Problem.REQUEST_ID_HEADER), "r-1");
+        JsonNode document = new ObjectMapper().readTree(response.contentUtf8());
+        assertEquals(response.status().code(), 503);
+        assertEquals(response.contentType(), Problem.MEDIA_TYPE);
+        assertEquals(response.headers().get(HttpHeaderNames.RETRY_AFTER), "2");
+        assertEquals(response.headers().get(Problem.REQUEST_ID_HEADER), "r-1");
         assertEquals(document.path("type").asText(), "about:blank");
         assertEquals(document.path("status").asInt(), 503);
         assertEquals(document.path("reason").asText(), "queue-full");
@@ -35,18 +35,18 @@
     }
 
     @Test
-    public void asksNobodyToComeBackWhereWaitingDoesNotHelp() {
-        AggregatedHttpResponse answer =
+    public void omitsRetryAfterForNonRetryableReasons() {
+        AggregatedHttpResponse response =
                 Problem.of(RefusalReason.UNKNOWN_SERVICE, "tea-reader")
                         .response()
                         .aggregate()
                         .join();
 
-        assertFalse(answer.headers().contains(HttpHeaderNames.RETRY_AFTER));
+        assertFalse(response.headers().contains(HttpHeaderNames.RETRY_AFTER));
     }
 
     @Test
-    public void aKnownOutcomeAndMembersReplaceThoseOfTheReason() throws IOException {
+    public void explicitOutcomeAndMembersOverrideTheDefaults() throws IOException {
         Problem problem =
                 Problem.of(RefusalReason.BACKEND_FAILED, "")
                         .withOutcome(RunOutcome.NOT_RUN)
