--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -68,19 +68,19 @@
 import org.cyclamenpaddle.store.hosts.HttpHostList;
 import org.cyclamenpaddle.store.objects.HttpObjectStore;
 
-/** All controllers of one entry host, wired to each other and to the blackboard. */
+/** Creates all controllers of one entry host and wires them to each other and to the blackboard. */
 final class Controllers implements AutoCloseable {
 
-    private static final int WORKERS = 4;
-    private static final long START_PAUSE_MILLIS = 100;
-    private static final long HELLO_MILLIS = 300;
+    private static final int WORKER_THREADS = 4;
+    private static final long CONFIGURATION_RETRY_MILLIS = 100;
+    private static final long HELLO_TIMEOUT_MILLIS = 300;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final int EXPLAINED_REQUESTS = 10_000;
-    private static final int DECISIONS_KEPT = 64;
+    private static final int MAX_EXPLAINED_REQUESTS = 10_000;
+    private static final int MAX_DECISIONS_PER_REQUEST = 64;
 
     private final RouterSettings mSettings;
     private final DecisionSettings mDecisions;
-    private final Map<HostId, HostRecord> mLastHeard = new ConcurrentHashMap<>();
+    private final Map<HostId, HostRecord> mLastRecords = new ConcurrentHashMap<>();
     private final EventLog mLog;
     private final Clock mClock = new MonotonicClock();
     private final RouterMetrics mMetrics = new RouterMetrics();
@@ -104,28 +104,28 @@
     private final EngineMonitor mEngineMonitor;
     private final PrefixMonitor mPrefixes;
     private final RetryBudget mRetries;
-    private final RequestAccounting mLearning;
+    private final RequestAccounting mAccounting;
     private final HostEnvironment mEnvironment;
     private final ModelRequests mRequests;
     private final PlainServiceClient mPlainClient;
     private final Bookings mBookings;
     private final RepeatableCalls mRepeatable;
-    private final HostDiscovery mFinder;
+    private final HostDiscovery mHostDiscovery;
     private final PeerNetwork mNetwork;
 
-    Controllers(RouterSettings settings, EventLog log, FatalErrorHandler failure) {
+    Controllers(RouterSettings settings, EventLog log, FatalErrorHandler fatalErrorHandler) {
         mSettings = settings;
         mDecisions = new DecisionSettings(settings);
         mLog = log;
         mSelf = new Incarnation(settings.host().name(), System.currentTimeMillis());
-        mWorkers = new Workers(WORKERS, failure::handle);
+        mWorkers = new Workers(WORKER_THREADS, fatalErrorHandler::handle);
         mBlackboard = Blackboard.create(new Quarantine(mDecisions.quarantine()));
-        mDecisionLog = new DecisionLog(mClock, EXPLAINED_REQUESTS, DECISIONS_KEPT);
+        mDecisionLog = new DecisionLog(mClock, MAX_EXPLAINED_REQUESTS, MAX_DECISIONS_PER_REQUEST);
         mHealth = new PlatformHealth(log, mMetrics, mClock);
         mStore = store();
         mHostList = hostList();
         mTransport = new NetworkTransport(this::network);
-        mMembership = membership(failure);
+        mMembership = membership(fatalErrorHandler);
         mConfiguration = configuration();
         mLedgers = new LedgerManager(mBlackboard, mMembership, mTransport, mClock, log, mMetrics);
         mClients = new BackendClients(mConnections);
@@ -144,17 +144,22 @@
         mPrefixes =
                 new PrefixMonitor(mBlackboard, mClients, mWorkers, settings.host().failureDomain());
         mRetries = new RetryBudget(mDecisions.retries());
-        mLearning = mDecisions.learning();
+        mAccounting = mDecisions.accounting();
         mEnvironment = environment();
         mRequests = modelRequests();
         mPlainClient = new PlainServiceClient(mConnections);
-        PlainBackendSelector choice =
+        PlainBackendSelector selector =
                 new PlainBackendSelector(mBlackboard, settings.host().failureDomain(), mClock);
-        mBookings = new Bookings(bookingServices(choice), mDecisions.retentionMillis());
+        mBookings = new Bookings(bookingServices(selector), mDecisions.retentionMillis());
         mRepeatable =
                 new RepeatableCalls(
-                        choice, mPlainClient, mEnvironment::newAttempt, mRetries, mMetrics, mClock);
-        mFinder =
+                        selector,
+                        mPlainClient,
+                        mEnvironment::newAttempt,
+                        mRetries,
+                        mMetrics,
+                        mClock);
+        mHostDiscovery =
                 new HostDiscovery(
                         settings.peers().seeds(), mHostList, mMembership, mTransport, mHealth);
         mNetwork = peerNetwork();
@@ -163,21 +168,23 @@
     }
 
     /**
-     * Learns the configuration, from the platform or from peers, before this host becomes a member.
+     * Waits for the configuration, from the platform or from peers, before this host joins the
+     * membership.
      *
-     * <p>A member without configuration would be made the owner of ledgers and refuse every ask; at
-     * each restart of a host the others' requests would fail for some 100 ms.
+     * <p>A member without configuration would become the owner of ledgers and refuse every grant
+     * request; at each restart of a host, requests of the other hosts would fail for some 100 ms.
      *
-     * @param longestMillis after which the host joins without
+     * @param timeoutMillis time in milliseconds after which the host joins without a configuration
      */
-    void learnConfiguration(long longestMillis) {
-        ScheduledFuture<?> asking =
-                mWorkers.scheduleWithFixedDelay(START_PAUSE_MILLIS, this::askForConfiguration);
-        Try.run(() -> mConfiguration.initialized().get(longestMillis, TimeUnit.MILLISECONDS));
-        asking.cancel(false);
+    void awaitConfiguration(long timeoutMillis) {
+        ScheduledFuture<?> requests =
+                mWorkers.scheduleWithFixedDelay(
+                        CONFIGURATION_RETRY_MILLIS, this::requestConfiguration);
+        Try.run(() -> mConfiguration.initialized().get(timeoutMillis, TimeUnit.MILLISECONDS));
+        requests.cancel(false);
     }
 
-    private void askForConfiguration() {
+    private void requestConfiguration() {
         mConfiguration.tick();
         mSettings
                 .peers()
@@ -185,14 +192,14 @@
                 .forEach(
                         seed ->
                                 mTransport
-                                        .hello(seed.address(), seed.port(), HELLO_MILLIS)
+                                        .hello(seed.address(), seed.port(), HELLO_TIMEOUT_MILLIS)
                                         .thenAccept(
                                                 found ->
                                                         found.ifPresent(
                                                                 mConfiguration::requestAtStart)));
     }
 
-    /** Runs what follows the hosts and the platform; called often. */
+    /** Advances membership, configuration and bookings; called at a short fixed interval. */
     void hostTick() {
         mHeartbeat.refresh(mBlackboard, mLedgers);
         mMembership.tick();
@@ -201,21 +208,22 @@
     }
 
     /**
-     * Lets owners look at their engines at once.
+     * Reconciles ledgers and engines immediately after the state of a host has changed.
      *
-     * <p>Two seconds after a host died its attempts must hold no engine memory; waiting for the
-     * next regular reading would spend a quarter of them.
+     * <p>Two seconds after a host died, its attempts must no longer hold engine memory; waiting for
+     * the next scheduled run would use up a quarter of that time.
      */
     private void hostChanged(HostRecord host) {
-        HostRecord last = mLastHeard.put(host.incarnation().host(), host);
-        boolean cameBack =
+        HostRecord last = mLastRecords.put(host.incarnation().host(), host);
+        boolean rejoined =
                 last != null
                         && host.state() == HostState.ALIVE
                         && (last.state() == HostState.DEAD
                                 || !last.incarnation().equals(host.incarnation()));
-        if (cameBack) {
-            // The connection to the life before is backing off for up to two seconds. Asks of the
-            // ledgers that the host now owns would fail all that time, and requests be refused.
+        if (rejoined) {
+            // The previous connection to the host backs off for up to two seconds. Grant requests
+            // to the ledgers that the host now owns would fail during that time, and requests be
+            // refused.
             mNetwork.forget(host.incarnation().host());
         }
         mWorkers.execute(
@@ -225,7 +233,7 @@
                 });
     }
 
-    /** Follows the preset in force and the view of the hosts. */
+    /** Applies changes of the preset in force and of the membership to ledgers and clients. */
     void ledgerTick() {
         mLedgers.tick();
         Map<BackendId, BackendSpec> declared = mBlackboard.view().backends();
@@ -233,15 +241,18 @@
         mBlackboard.backends().write(table -> table.retain(declared));
     }
 
-    /** Returns what must end before this host may leave. */
-    int openWork() {
+    /**
+     * Returns the number of requests, calls and cancellations that must end before this host may
+     * leave.
+     */
+    int pendingWork() {
         return mBlackboard.requests().read(RequestTable::inFlight)
                 + mBookings.pending()
                 + mRepeatable.pending()
                 + mCanceller.pending();
     }
 
-    int ledgersKept() {
+    int ownedLedgerCount() {
         return mLedgers.owned().size();
     }
 
@@ -288,8 +299,8 @@
         return mPrefixes;
     }
 
-    HostDiscovery finder() {
-        return mFinder;
+    HostDiscovery hostDiscovery() {
+        return mHostDiscovery;
     }
 
     ModelRequests requests() {
@@ -327,7 +338,7 @@
         return new HttpHostList(platform.address(), platform.port(), platform.timeoutMillis());
     }
 
-    private MembershipDriver membership(FatalErrorHandler failure) {
+    private MembershipDriver membership(FatalErrorHandler fatalErrorHandler) {
         MembershipSettings settings = MembershipSettings.DEFAULTS;
         Membership membership =
                 new Membership(mDecisions.self(mSelf), settings, mHeartbeat, random(1));
@@ -338,13 +349,10 @@
                 mWorkers,
                 mClock,
                 mLog,
-                later ->
-                        failure.handle(
+                newer ->
+                        fatalErrorHandler.handle(
                                 new IllegalStateException(
-                                        "host "
-                                                + later.host()
-                                                + " was started again as "
-                                                + later)));
+                                        "host " + newer.host() + " was restarted as " + newer)));
     }
 
     private ConfigurationDriver configuration() {
@@ -375,19 +383,19 @@
 
     private HostEnvironment environment() {
         PlacementPolicy policy = mSettings.routing().policy();
-        RequestPolicies decisions =
+        RequestPolicies policies =
                 new RequestPolicies(
                         policy,
                         new Admission(policy, AdmissionSettings.DEFAULTS),
                         mRetries,
                         mPrefixes,
-                        mLearning,
-                        DecisionSettings::distanceMillis);
+                        mAccounting,
+                        DecisionSettings::oneWayLatencyMillis);
         return new HostEnvironment(
                 mSelf,
                 mSettings.host().failureDomain(),
                 mBlackboard,
-                decisions,
+                policies,
                 new BackendFailureReporter(mBlackboard, mMembership, mTransport, mClock, mLog),
                 random(3));
     }
@@ -404,10 +412,10 @@
                         mPrefixes,
                         mMetrics);
         return new ModelRequests(
-                services, mEnvironment, mDecisions.requests(), mDecisionLog::record, mLearning);
+                services, mEnvironment, mDecisions.requests(), mDecisionLog::record, mAccounting);
     }
 
-    private BookingServices bookingServices(PlainBackendSelector choice) {
+    private BookingServices bookingServices(PlainBackendSelector selector) {
         return new BookingServices(
                 mSelf,
                 mClock,
@@ -421,7 +429,7 @@
                         mClock,
                         System::currentTimeMillis,
                         mHealth),
-                choice,
+                selector,
                 mPlainClient,
                 new PeerClaimHolders(mMembership, mTransport, mDecisions.retentionMillis()),
                 mMetrics,
@@ -430,12 +438,12 @@
     }
 
     private PeerNetwork peerNetwork() {
-        PeerMessageDispatcher dispatch =
+        PeerMessageDispatcher dispatcher =
                 new PeerMessageDispatcher(
                         mMembership, mConfiguration, mLedgers, mBookings, mBlackboard, mClock);
         return new PeerNetwork(
                 mMembership::self,
-                dispatch,
+                dispatcher,
                 PeerSettings.DEFAULT,
                 mClock,
                 new PeerMetrics(mMetrics, mLog));
@@ -445,16 +453,16 @@
         return new GaugeSources(
                 mLedgers::totalGrantCount,
                 () -> mBlackboard.requests().read(RequestTable::inFlight),
-                () -> mBlackboard.configuration().read(cell -> cell.inForceVersion()),
+                () -> mBlackboard.configuration().read(state -> state.inForceVersion()),
                 () ->
                         (mClock.millis()
                                         - mBlackboard
                                                 .configuration()
-                                                .read(cell -> cell.confirmedAt()))
+                                                .read(state -> state.confirmedAt()))
                                 / MILLIS_PER_SECOND);
     }
 
-    /** Returns a generator of its own for each use, seeded by host and life. */
+    /** Returns a separate random generator for each use, seeded by host and incarnation. */
     private UniformRandomProvider random(long use) {
         long seed = mSelf.host().value().hashCode() * 31L + mSelf.number() * 7 + use;
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/DecisionSettings.java
@@ -14,14 +14,14 @@
 import org.cyclamenpaddle.routing.request.RequestSettings;
 import org.cyclamenpaddle.routing.retry.RetryBudget;
 
-/** The settings of each decision, from the settings of the host and what is fixed. */
+/** Derives the settings of each policy from the settings of the host and fixed defaults. */
 final class DecisionSettings {
 
     private static final long MILLIS_PER_HOUR = 3_600_000;
-    private static final long FAR_DOMAIN_MILLIS = 2;
+    private static final long INTER_DOMAIN_LATENCY_MILLIS = 2;
     private static final double LENGTH_QUANTILE = 0.5;
-    private static final int LENGTH_SOURCES = 4_096;
-    private static final double SCARCE_FROM = 0.8;
+    private static final int MAX_LENGTH_SOURCES = 4_096;
+    private static final double SCARCITY_THRESHOLD = 0.8;
 
     private final RouterSettings mSettings;
 
@@ -69,17 +69,17 @@
                 defaults.flushMillis());
     }
 
-    RequestAccounting learning() {
+    RequestAccounting accounting() {
         return new RequestAccounting(
-                new OutputLengthEstimator(LENGTH_QUANTILE, LENGTH_SOURCES),
+                new OutputLengthEstimator(LENGTH_QUANTILE, MAX_LENGTH_SOURCES),
                 new ConcurrencyLimit(
                         new ConcurrencyLimit.Settings(
-                                mSettings.limits().concurrentRequests(), SCARCE_FROM),
+                                mSettings.limits().concurrentRequests(), SCARCITY_THRESHOLD),
                         TeamShares.EQUAL),
                 mSettings.routing().expectedOutputTokens());
     }
 
-    /** Returns the record that this host tells of itself when it starts. */
+    /** Returns the record that this host announces for itself when it starts. */
     HostRecord self(Incarnation incarnation) {
         RouterSettings.Host host = mSettings.host();
         return new HostRecord(
@@ -91,8 +91,8 @@
                 HostState.ALIVE);
     }
 
-    /** Returns the one-way time between failure domains, in milliseconds. */
-    static long distanceMillis(FailureDomain from, FailureDomain to) {
-        return from.equals(to) ? 0 : FAR_DOMAIN_MILLIS;
+    /** Returns the assumed one-way network latency between failure domains, in milliseconds. */
+    static long oneWayLatencyMillis(FailureDomain from, FailureDomain to) {
+        return from.equals(to) ? 0 : INTER_DOMAIN_LATENCY_MILLIS;
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/EntryHost.java
@@ -14,21 +14,21 @@
 import org.cyclamenpaddle.router.event.LogEvent;
 import org.cyclamenpaddle.router.settings.RouterSettings;
 
-/** One entry host: starts its controllers and takes it through a planned stop. */
+/** Starts the controllers of one entry host and runs its planned stop. */
 public final class EntryHost implements AutoCloseable {
 
-    /** Longest wait for the configuration before this host joins without it. */
-    private static final long LEARN_MILLIS = 5_000;
+    /** Maximum wait for the configuration before this host joins without it. */
+    private static final long CONFIGURATION_TIMEOUT_MILLIS = 5_000;
 
-    /** Time from joining until members and ledgers have settled, and callers may come. */
+    /** Time after joining until membership and ledgers have settled and callers may be served. */
     private static final long SETTLE_MILLIS = 1_500;
 
     private static final long HOST_TICK_MILLIS = 50;
     private static final long LEDGER_TICK_MILLIS = 200;
     private static final long ORDER_TICK_MILLIS = 100;
-    private static final long FINDER_TICK_MILLIS = 1_000;
+    private static final long DISCOVERY_TICK_MILLIS = 1_000;
     private static final long STOP_TICK_MILLIS = 50;
-    private static final long HAND_OVER_MILLIS = 1_000;
+    private static final long HANDOVER_MILLIS = 1_000;
 
     private final RouterSettings mSettings;
     private final Controllers mControllers;
@@ -36,18 +36,18 @@
     private final EventLog mLog;
     private final Table<StopSequence> mStop;
     private final CompletableFuture<Void> mStopped = new CompletableFuture<>();
-    private volatile long mJoinedAt = -1;
-    private volatile long mStopStartedAt;
+    private volatile long mJoinedAtMillis = -1;
+    private volatile long mStopStartedAtMillis;
     private volatile int mLedgersToHandOver;
     private final AtomicBoolean mReadyLogged = new AtomicBoolean();
 
     /**
-     * Creates a host that is not started.
+     * Creates a host without starting it.
      *
      * @param settings its settings
-     * @param failure told when an invariant is broken; must end the process
+     * @param fatalErrorHandler called when an invariant is violated; must end the process
      */
-    public EntryHost(RouterSettings settings, FatalErrorHandler failure) {
+    public EntryHost(RouterSettings settings, FatalErrorHandler fatalErrorHandler) {
         mSettings = settings;
         mLog = new EventLog();
         mStop =
@@ -55,14 +55,14 @@
                         TableOrder.HOSTS,
                         new StopSequence(
                                 new StopSettings(
-                                        settings.timing().stopGraceMillis(), HAND_OVER_MILLIS)));
-        mControllers = new Controllers(settings, mLog, failure);
+                                        settings.timing().stopGraceMillis(), HANDOVER_MILLIS)));
+        mControllers = new Controllers(settings, mLog, fatalErrorHandler);
         mFront = new HttpFront(settings, mControllers, this::stage, this::settled);
     }
 
-    /** Binds its ports and starts its controllers; returns why that failed, if it did. */
+    /** Binds the ports and starts the controllers; returns the cause if that failed. */
     public Try<Void> start() {
-        mControllers.learnConfiguration(LEARN_MILLIS);
+        mControllers.awaitConfiguration(CONFIGURATION_TIMEOUT_MILLIS);
         return mControllers
                 .network()
                 .start(mSettings.host().address(), mSettings.host().peerPort())
@@ -70,12 +70,16 @@
                 .andThen(this::startTicks);
     }
 
-    /** Returns the port that callers and operators use. */
+    /** Returns the HTTP port for callers and operators. */
     public int httpPort() {
         return mFront.port();
     }
 
-    /** Starts a planned stop, or leaves the one under way as it is. */
+    /**
+     * Starts a planned stop; has no effect if one is in progress.
+     *
+     * @return a future that completes when the host has stopped
+     */
     public CompletableFuture<Void> stop() {
         long now = mControllers.clock().millis();
         mStop.read(sequence -> sequence.onSignal(now)).forEach(this::perform);
@@ -87,7 +91,10 @@
         return mStop.read(StopSequence::stage);
     }
 
-    /** Ends everything at once, as a kill would but in this process; for tests. */
+    /**
+     * Closes everything immediately. Without a planned stop before it, this has the effect of a
+     * kill of the process, which tests use.
+     */
     @Override
     public void close() {
         mFront.close();
@@ -95,12 +102,12 @@
     }
 
     private boolean settled() {
-        long joined = mJoinedAt;
+        long joined = mJoinedAtMillis;
         return joined >= 0 && mControllers.clock().millis() - joined >= SETTLE_MILLIS;
     }
 
     private void startTicks() {
-        mJoinedAt = mControllers.clock().millis();
+        mJoinedAtMillis = mControllers.clock().millis();
         mLog.log(
                 LogEvent.STARTED,
                 mSettings.host().name(),
@@ -108,7 +115,7 @@
                 mSettings.host().failureDomain(),
                 mFront.port(),
                 mSettings.host().peerPort());
-        mControllers.workers().execute(mControllers.finder()::tick);
+        mControllers.workers().execute(mControllers.hostDiscovery()::tick);
         mControllers.workers().scheduleWithFixedDelay(HOST_TICK_MILLIS, this::hostTick);
         mControllers.workers().scheduleWithFixedDelay(LEDGER_TICK_MILLIS, mControllers::ledgerTick);
         mControllers
@@ -124,7 +131,7 @@
                         mSettings.timing().loadPollMillis(), mControllers.prefixes()::tick);
         mControllers
                 .workers()
-                .scheduleWithFixedDelay(FINDER_TICK_MILLIS, mControllers.finder()::tick);
+                .scheduleWithFixedDelay(DISCOVERY_TICK_MILLIS, mControllers.hostDiscovery()::tick);
         mControllers.workers().scheduleWithFixedDelay(STOP_TICK_MILLIS, this::stopTick);
     }
 
@@ -136,7 +143,10 @@
             mLog.log(
                     LogEvent.READY,
                     mControllers.blackboard().view().inForce().orElseThrow(),
-                    mControllers.blackboard().configuration().read(cell -> cell.inForceVersion()));
+                    mControllers
+                            .blackboard()
+                            .configuration()
+                            .read(state -> state.inForceVersion()));
         }
     }
 
@@ -144,9 +154,9 @@
         if (stage() == StopStage.RUNNING || stage() == StopStage.STOPPED) {
             return;
         }
-        int open = mControllers.openWork();
+        int pending = mControllers.pendingWork();
         long now = mControllers.clock().millis();
-        mStop.read(sequence -> sequence.tick(open, now)).forEach(this::perform);
+        mStop.read(sequence -> sequence.tick(pending, now)).forEach(this::perform);
     }
 
     private void perform(StopEffect effect) {
@@ -155,15 +165,15 @@
         }
         switch (entered.stage()) {
             case NOT_READY -> {
-                mStopStartedAt = mControllers.clock().millis();
+                mStopStartedAtMillis = mControllers.clock().millis();
                 mLog.log(
                         LogEvent.STOPPING,
                         mControllers.blackboard().requests().read(RequestTable::inFlight),
                         mSettings.timing().stopGraceMillis());
             }
             case HANDING_OVER -> {
-                mLog.log(LogEvent.DRAINED, mControllers.clock().millis() - mStopStartedAt);
-                mLedgersToHandOver = mControllers.ledgersKept();
+                mLog.log(LogEvent.DRAINED, mControllers.clock().millis() - mStopStartedAtMillis);
+                mLedgersToHandOver = mControllers.ownedLedgerCount();
                 mControllers.membership().leave();
             }
             case STOPPED -> {
@@ -171,7 +181,7 @@
                 mStopped.complete(null);
             }
             default -> {
-                // The stage alone says what is refused from now on.
+                // No action: the stage itself determines what is refused from now on.
             }
         }
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FatalErrorHandler.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FatalErrorHandler.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.router.assembly;
 
-/** Ends the process after an invariant was broken. */
+/** Ends the process after an invariant has been violated. */
 @FunctionalInterface
 public interface FatalErrorHandler {
 
-    /** Takes what was thrown. */
+    /** Handles the thrown error. */
     void handle(Throwable failure);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FleetStatus.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/FleetStatus.java
@@ -24,7 +24,7 @@
 import org.cyclamenpaddle.router.operator.StatusSource;
 import org.cyclamenpaddle.router.peering.MembershipDriver;
 
-/** The status of the fleet, read from this host's tables. */
+/** Reports the status of the fleet from this host's tables. */
 final class FleetStatus implements StatusSource {
 
     private final Blackboard mBlackboard;
@@ -69,18 +69,21 @@
                 .map(
                         host -> {
                             boolean own = host.incarnation().equals(self.incarnation());
-                            Optional<PeerDigest> told =
+                            Optional<PeerDigest> digestOfPeer =
                                     Optional.ofNullable(peers.get(host.incarnation().host()));
                             return new HostStatus(
                                     host.incarnation().host(),
                                     host.domain(),
                                     host.state(),
                                     own
-                                            || told.filter(d -> d.configurationDigest() == digest)
+                                            || digestOfPeer
+                                                    .filter(d -> d.configurationDigest() == digest)
                                                     .isPresent(),
                                     own
                                             ? inForce
-                                            : told.map(PeerDigest::inForceVersion).orElse(0L));
+                                            : digestOfPeer
+                                                    .map(PeerDigest::inForceVersion)
+                                                    .orElse(0L));
                         })
                 .sorted(Comparator.comparing(HostStatus::host))
                 .collect(Collectors.toList());
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/HttpFront.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/HttpFront.java
@@ -21,7 +21,7 @@
 import org.cyclamenpaddle.router.operator.OperatorApi;
 import org.cyclamenpaddle.router.settings.RouterSettings;
 
-/** The HTTP server towards callers and operators. */
+/** HTTP server for callers and operators. */
 final class HttpFront implements AutoCloseable {
 
     private static final Duration NO_QUIET_PERIOD = Duration.ZERO;
@@ -59,7 +59,7 @@
     }
 
     private Server build() {
-        RequestSupport gate =
+        RequestSupport support =
                 new RequestSupport(
                         mControllers.self(),
                         mControllers.blackboard(),
@@ -67,15 +67,16 @@
                         () -> mStage.get().takesWork());
         CompletionsService completions =
                 new CompletionsService(
-                        gate, mControllers.requests(), mSettings.limits().promptTokens());
+                        support, mControllers.requests(), mSettings.limits().promptTokens());
         PlainCallsService plain =
-                new PlainCallsService(gate, mControllers.bookings(), mControllers.repeatable());
+                new PlainCallsService(support, mControllers.bookings(), mControllers.repeatable());
         ServerBuilder builder =
                 Server.builder()
                         .http(
                                 new InetSocketAddress(
                                         mSettings.host().address(), mSettings.host().httpPort()))
-                        // Requests bound themselves; a limit of the library's would cut answers.
+                        // Requests enforce their own deadlines; a timeout of the library would
+                        // truncate responses.
                         .requestTimeout(Duration.ZERO)
                         .maxRequestLength(mSettings.limits().bodyBytes())
                         .gracefulShutdownTimeout(NO_QUIET_PERIOD, SHUTDOWN_TIMEOUT)
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/RouterMain.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/RouterMain.java
@@ -25,20 +25,25 @@
     private static final int EXIT_INVARIANT = 70;
 
     private static final Option SETTINGS =
-            Option.builder().longOpt("settings").hasArg().argName("FILE").desc("run by it").get();
+            Option.builder()
+                    .longOpt("settings")
+                    .hasArg()
+                    .argName("FILE")
+                    .desc("run an entry host with these settings")
+                    .get();
     private static final Option CHECK =
             Option.builder()
                     .longOpt("check-settings")
                     .hasArg()
                     .argName("FILE")
-                    .desc("check it and exit")
+                    .desc("check these settings and exit")
                     .get();
 
     private RouterMain() {}
 
     /** Runs an entry host, or checks a settings file. */
     public static void main(String[] args) {
-        // Armeria would otherwise take io_uring where it finds it, which our users rule out.
+        // Armeria would otherwise use io_uring where it is available, which operators do not allow.
         System.setProperty("com.linecorp.armeria.transportType", "nio");
         Options options = new Options().addOption(SETTINGS).addOption(CHECK);
         Try<CommandLine> line = Try.of(() -> new DefaultParser().parse(options, args));
@@ -53,7 +58,7 @@
         } else if (settings != null) {
             run(Path.of(settings));
         } else {
-            usage("one of --settings and --check-settings is needed");
+            usage("either --settings or --check-settings is required");
         }
     }
 
@@ -81,9 +86,11 @@
         }
         LogOutput.configure(settings.get().log());
         EventLog log = new EventLog();
-        // I/O threads of libraries hand a broken invariant on only this way.
-        Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> broken(log, failure));
-        EntryHost host = new EntryHost(settings.get(), failure -> broken(log, failure));
+        // Invariant violations on I/O threads of libraries surface only as uncaught exceptions.
+        Thread.setDefaultUncaughtExceptionHandler(
+                (thread, failure) -> haltOnInvariantViolation(log, failure));
+        EntryHost host =
+                new EntryHost(settings.get(), failure -> haltOnInvariantViolation(log, failure));
         Try<Void> started = host.start();
         if (started.isFailure()) {
             System.err.println("cyclamenpaddle: cannot start: " + started.getCause());
@@ -93,7 +100,10 @@
         stopOnSignal(host);
     }
 
-    /** A hook runs on SIGTERM and SIGINT, and the process ends when it returns. */
+    /**
+     * Registers a shutdown hook that runs the planned stop on SIGTERM and SIGINT; the process ends
+     * when it returns.
+     */
     private static void stopOnSignal(EntryHost host) {
         Runtime.getRuntime()
                 .addShutdownHook(
@@ -107,10 +117,10 @@
         System.exit(EXIT_OK);
     }
 
-    private static void broken(EventLog log, Throwable failure) {
+    private static void haltOnInvariantViolation(EventLog log, Throwable failure) {
         log.log(LogEvent.INVARIANT_VIOLATED, failure);
         failure.printStackTrace();
-        // No planned stop: the state that it would rely on is what was found to be wrong.
+        // No planned stop, since it would rely on the state that was found to be inconsistent.
         Runtime.getRuntime().halt(EXIT_INVARIANT);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/package-info.java
@@ -1,2 +1,2 @@
-/** Puts an entry host together, starts it and stops it gracefully. */
+/** Assembles an entry host, starts it and shuts it down gracefully. */
 package org.cyclamenpaddle.router.assembly;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/package-info.java
@@ -1,2 +1,2 @@
-/** Entry host process. */
+/** The entry host process. */
 package org.cyclamenpaddle.router;
