--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrain.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrain.java
@@ -9,17 +9,17 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
-/** Marks a backend server as leaving, whatever else others change on it meanwhile. */
+/** Marks a backend server as leaving, retrying when concurrent edits change it in the meantime. */
 final class BackendDrain {
 
     /**
-     * Tries against racing edits.
+     * Maximum number of attempts under concurrent edits.
      *
-     * <p>Safeguard: an edit that comes between read and write would make the drain fail, although
-     * the operator's wish does not depend on the version. Each try starts from the winner, so that
-     * the other edit is kept.
+     * <p>Safeguard: an edit between the read and the write would make the drain fail, although a
+     * drain does not depend on the version. Each attempt starts from the current version, so that
+     * the other edit is preserved.
      */
-    private static final int TRIES = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     private static final String LEAVING = "leaving";
 
@@ -30,43 +30,48 @@
     }
 
     CompletableFuture<Either<ChangeRefusal, StoredObject>> drain(ObjectKey key, ChangeId change) {
-        return drain(key, change, TRIES);
+        return drain(key, change, MAX_ATTEMPTS);
     }
 
     private CompletableFuture<Either<ChangeRefusal, StoredObject>> drain(
-            ObjectKey key, ChangeId change, int triesLeft) {
+            ObjectKey key, ChangeId change, int attemptsLeft) {
         return mAdmin.find(key)
                 .thenCompose(
                         found ->
                                 found.fold(
                                         refusal -> refused(refusal),
                                         stored ->
-                                                stored.map(s -> mark(s, change, triesLeft))
+                                                stored.map(
+                                                                s ->
+                                                                        markLeaving(
+                                                                                s,
+                                                                                change,
+                                                                                attemptsLeft))
                                                         .orElseGet(() -> refused(unknown(key)))));
     }
 
-    private CompletableFuture<Either<ChangeRefusal, StoredObject>> mark(
-            StoredObject stored, ChangeId change, int triesLeft) {
-        Optional<String> spec = leaving(stored);
+    private CompletableFuture<Either<ChangeRefusal, StoredObject>> markLeaving(
+            StoredObject stored, ChangeId change, int attemptsLeft) {
+        Optional<String> spec = withLeaving(stored);
         if (spec.isEmpty()) {
             return CompletableFuture.completedFuture(Either.right(stored));
         }
         return mAdmin.put(stored.key(), spec.get(), Precondition.at(stored.version()), change)
                 .thenCompose(
                         result ->
-                                raced(result) && triesLeft > 1
-                                        ? drain(stored.key(), change, triesLeft - 1)
+                                isConflict(result) && attemptsLeft > 1
+                                        ? drain(stored.key(), change, attemptsLeft - 1)
                                         : CompletableFuture.completedFuture(result));
     }
 
-    /** Returns the spec marked as leaving; empty if it is so already. */
-    private static Optional<String> leaving(StoredObject stored) {
+    /** Returns the spec marked as leaving; empty if it already is. */
+    private static Optional<String> withLeaving(StoredObject stored) {
         return OperatorJson.read(stored.spec())
                 .filter(spec -> spec.isObject() && !spec.path(LEAVING).asBoolean())
                 .map(spec -> ((ObjectNode) spec).put(LEAVING, true).toString());
     }
 
-    private static boolean raced(Either<ChangeRefusal, StoredObject> result) {
+    private static boolean isConflict(Either<ChangeRefusal, StoredObject> result) {
         return result.isLeft() && result.getLeft().refusal().reason() == RefusalReason.CONFLICT;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendStatus.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendStatus.java
@@ -8,18 +8,18 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * A backend server as the reporting host sees it.
+ * Status of a backend server as seen by the reporting host.
  *
  * @param backend its name
  * @param domain its failure domain
- * @param service service that the preset in force gives it
- * @param role role that the preset in force gives it
- * @param owner host that keeps its ledger of grants
- * @param reachable whether it answered lately
- * @param slots requests it can hold
- * @param freeSlots slots not taken, by the latest knowledge
- * @param leaving whether it was asked to drain
- * @param drained whether it is leaving and holds nothing any more
+ * @param service service that the preset in force assigns to it
+ * @param role role that the preset in force assigns to it
+ * @param owner host that manages its ledger of grants
+ * @param reachable whether it responded recently
+ * @param slots maximum number of concurrent requests
+ * @param freeSlots free slots according to the latest report
+ * @param leaving whether it is being drained
+ * @param drained whether it is leaving and has no attempts in flight
  */
 public record BackendStatus(
         BackendId backend,
@@ -35,7 +35,8 @@
 
     public BackendStatus {
         if (backend == null || domain == null || service == null || role == null || owner == null) {
-            throw new IllegalArgumentException("backend server status lacks a part: " + backend);
+            throw new IllegalArgumentException(
+                    "backend server status has a null component: " + backend);
         }
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeHeaders.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeHeaders.java
@@ -8,22 +8,26 @@
 import org.cyclamenpaddle.router.problem.Problem;
 
 /**
- * What the headers of a change say.
+ * Headers of a configuration change.
  *
- * <p>Both are demanded: without a precondition a second operator's change would be lost unseen, and
- * without a change id a lost answer could not be settled.
+ * <p>Both are required: without a precondition, a concurrent change by another operator would be
+ * overwritten silently, and without a change id, the outcome of a change whose response was lost
+ * could not be determined.
  *
- * @param precondition from {@code If-Match} or {@code If-None-Match}
- * @param change from {@value #CHANGE_ID}
+ * @param precondition parsed from {@code If-Match} or {@code If-None-Match}
+ * @param change parsed from {@value #CHANGE_ID}
  */
 record ChangeHeaders(Precondition precondition, ChangeId change) {
 
-    /** Header that carries the identity of a change. */
+    /** Header that carries the id of a change. */
     static final String CHANGE_ID = "x-change-id";
 
     static Either<Problem, ChangeHeaders> read(RequestHeaders headers) {
         return precondition(headers)
-                .flatMap(held -> change(headers).map(change -> new ChangeHeaders(held, change)));
+                .flatMap(
+                        precondition ->
+                                change(headers)
+                                        .map(change -> new ChangeHeaders(precondition, change)));
     }
 
     static Either<Problem, ChangeId> change(RequestHeaders headers) {
@@ -31,7 +35,7 @@
         try {
             return Either.right(new ChangeId(text));
         } catch (IllegalArgumentException malformed) {
-            return bad("X-Change-Id: " + malformed.getMessage());
+            return badRequest("X-Change-Id: " + malformed.getMessage());
         }
     }
 
@@ -39,21 +43,21 @@
         String match = headers.get(HttpHeaderNames.IF_MATCH, "");
         String noneMatch = headers.get(HttpHeaderNames.IF_NONE_MATCH, "");
         if (match.isEmpty() == noneMatch.isEmpty()) {
-            return bad("a change takes either If-Match: <version> or If-None-Match: *");
+            return badRequest("a change requires either If-Match: <version> or If-None-Match: *");
         }
         if (!noneMatch.isEmpty()) {
             return noneMatch.equals("*")
                     ? Either.right(Precondition.absent())
-                    : bad("If-None-Match takes only *, not " + noneMatch);
+                    : badRequest("If-None-Match must be *, not " + noneMatch);
         }
         try {
             return Either.right(Precondition.at(Long.parseLong(match)));
         } catch (IllegalArgumentException malformed) {
-            return bad("If-Match takes a version above 0, not " + match);
+            return badRequest("If-Match must be a version above 0, not " + match);
         }
     }
 
-    private static <T> Either<Problem, T> bad(String detail) {
+    private static <T> Either<Problem, T> badRequest(String detail) {
         return Either.left(Problem.of(RefusalReason.BAD_BODY, detail));
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeRefusal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ChangeRefusal.java
@@ -4,20 +4,21 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 
 /**
- * Why a change was not made.
+ * A refusal of a configuration change.
  *
  * @param refusal reason and detail
- * @param current the object as it is, if another change came first and the object exists
+ * @param current the current object, if a concurrent change was applied first and the object exists
  */
 public record ChangeRefusal(Refusal refusal, Optional<StoredObject> current) {
 
     public ChangeRefusal {
         if (refusal == null || current == null) {
-            throw new IllegalArgumentException("change refusal needs a refusal");
+            throw new IllegalArgumentException(
+                    "refusal and current object of a change refusal must not be null");
         }
     }
 
-    /** Returns a refusal that no other change caused. */
+    /** Creates a refusal that was not caused by a concurrent change. */
     public static ChangeRefusal of(Refusal refusal) {
         return new ChangeRefusal(refusal, Optional.empty());
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ConfigurationAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ConfigurationAdmin.java
@@ -10,39 +10,40 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 
 /**
- * Reads and changes of configuration objects in the platform.
+ * Reads and changes configuration objects in the platform.
  *
- * <p>Futures never fail for want of the platform; that is a refusal with reason {@code
- * PLATFORM_AWAY}. A change whose answer was lost is settled by its change id before the future
- * completes. A refusal with outcome {@code UNKNOWN} says that this was not possible.
+ * <p>Futures never complete exceptionally because the platform is unreachable; that is a refusal
+ * with reason {@code PLATFORM_AWAY}. The outcome of a change whose response was lost is determined
+ * by its change id before the future completes. A refusal with outcome {@code UNKNOWN} means that
+ * this was not possible.
  */
 public interface ConfigurationAdmin {
 
-    /** Returns all objects of a kind in the order of their names. */
+    /** Returns all objects of a kind, ordered by name. */
     CompletableFuture<Either<Refusal, List<StoredObject>>> list(ObjectKind kind);
 
     /** Returns an object; empty if there is none. */
     CompletableFuture<Either<Refusal, Optional<StoredObject>>> find(ObjectKey key);
 
     /**
-     * Creates or replaces an object, after its form and its references were checked.
+     * Creates or replaces an object, after checking its form and its references.
      *
-     * @param key which
+     * @param key key of the object
      * @param spec JSON text of the spec
-     * @param precondition what must still hold
-     * @param change identity of this change
-     * @return the object as written, or why it was not
+     * @param precondition condition that the stored object must meet
+     * @param change id of this change
+     * @return the object as written, or the reason why it was not written
      */
     CompletableFuture<Either<ChangeRefusal, StoredObject>> put(
             ObjectKey key, String spec, Precondition precondition, ChangeId change);
 
     /**
-     * Deletes an object that no other object names.
+     * Deletes an object that no other object references.
      *
-     * @param key which
+     * @param key key of the object
      * @param precondition the version that the operator saw
-     * @param change identity of this change
-     * @return the version of the deletion, or why it was not made
+     * @param change id of this change
+     * @return the version of the deletion, or the reason why it was not made
      */
     CompletableFuture<Either<ChangeRefusal, Long>> delete(
             ObjectKey key, Precondition precondition, ChangeId change);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ExplainSource.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ExplainSource.java
@@ -4,10 +4,10 @@
 import org.cyclamenpaddle.core.id.RequestId;
 import org.cyclamenpaddle.router.explain.Explanation;
 
-/** Source of what was decided for a request. */
+/** Provides the recorded routing decisions of requests. */
 @FunctionalInterface
 public interface ExplainSource {
 
-    /** Returns what this host decided for a request; empty if it does not know the request. */
+    /** Returns the decisions that this host made for a request; empty if the request is unknown. */
     Optional<Explanation> explain(RequestId request);
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/HostStatus.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/HostStatus.java
@@ -5,11 +5,11 @@
 import org.cyclamenpaddle.core.message.HostState;
 
 /**
- * An entry host as the reporting host sees it.
+ * Status of an entry host as seen by the reporting host.
  *
  * @param host its name
  * @param domain its failure domain
- * @param state what is believed of it
+ * @param state its membership state
  * @param sameConfiguration whether its configuration digest equals the reporting host's
  * @param inForceVersion version of the object that names the preset in force there; 0 if none
  */
@@ -22,7 +22,7 @@
 
     public HostStatus {
         if (host == null || domain == null || state == null) {
-            throw new IllegalArgumentException("host status lacks a part: " + host);
+            throw new IllegalArgumentException("host status has a null component: " + host);
         }
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
@@ -23,9 +23,10 @@
 import org.cyclamenpaddle.router.problem.Problem;
 
 /**
- * The operators' API as an annotated service, to be mounted at {@value #PREFIX}.
+ * Annotated HTTP service for operators, to be mounted at {@value #PREFIX}.
  *
- * <p>Bodies and paths are those of the page on protocols. Every refusal is a problem document.
+ * <p>Paths and bodies are specified in the protocol documentation. Every refusal is a problem
+ * document.
  */
 public final class OperatorApi {
 
@@ -42,7 +43,7 @@
      *
      * @param admin reads and changes configuration objects
      * @param status reports the status of the fleet
-     * @param explain knows what was decided for a request
+     * @param explain provides the decisions made for a request
      */
     public OperatorApi(ConfigurationAdmin admin, StatusSource status, ExplainSource explain) {
         mAdmin = admin;
@@ -55,8 +56,8 @@
     @Get("/objects/{kind}")
     public CompletableFuture<HttpResponse> list(@Param("kind") String kind) {
         return ObjectKind.fromCode(kind)
-                .map(known -> mAdmin.list(known).thenApply(answer(OperatorJson::objects)))
-                .orElseGet(() -> now(unknown("kind " + kind)));
+                .map(known -> mAdmin.list(known).thenApply(readResponse(OperatorJson::objects)))
+                .orElseGet(() -> completed(unknown("kind " + kind)));
     }
 
     /** Returns one object. */
@@ -64,8 +65,8 @@
     public CompletableFuture<HttpResponse> show(
             @Param("kind") String kind, @Param("name") String name) {
         return key(kind, name)
-                .map(key -> mAdmin.find(key).thenApply(answer -> found(key, answer)))
-                .orElseGet(() -> now(unknown(kind + "/" + name)));
+                .map(key -> mAdmin.find(key).thenApply(result -> findResponse(key, result)))
+                .orElseGet(() -> completed(unknown(kind + "/" + name)));
     }
 
     /** Creates or replaces one object. */
@@ -77,11 +78,11 @@
                         .map(body -> body.path("spec"))
                         .filter(JsonNode::isObject);
         if (spec.isEmpty()) {
-            return now(Problem.of(RefusalReason.BAD_BODY, "the body has no object \"spec\""));
+            return completed(Problem.of(RefusalReason.BAD_BODY, "the body has no object \"spec\""));
         }
         return key(kind, name)
                 .map(key -> put(key, spec.get().toString(), request))
-                .orElseGet(() -> now(unknown(kind + "/" + name)));
+                .orElseGet(() -> completed(unknown(kind + "/" + name)));
     }
 
     /** Deletes one object. */
@@ -90,30 +91,36 @@
             @Param("kind") String kind, @Param("name") String name, AggregatedHttpRequest request) {
         return key(kind, name)
                 .map(key -> delete(key, request))
-                .orElseGet(() -> now(unknown(kind + "/" + name)));
+                .orElseGet(() -> completed(unknown(kind + "/" + name)));
     }
 
-    /** Asks a backend server to drain: it gets no new work, what it has in flight goes on. */
+    /**
+     * Starts the drain of a backend server: it gets no new work, and requests in flight continue.
+     */
     @Post("/backends/{name}/drain")
     public CompletableFuture<HttpResponse> drain(
             @Param("name") String name, AggregatedHttpRequest request) {
         return ChangeHeaders.change(request.headers())
                 .fold(
-                        problem -> now(problem),
+                        problem -> completed(problem),
                         change ->
                                 key(ObjectKind.BACKEND.code(), name)
                                         .map(key -> mDrain.drain(key, change))
-                                        .map(done -> done.thenApply(change(OperatorJson::object)))
-                                        .orElseGet(() -> now(unknown("backend/" + name))));
+                                        .map(
+                                                done ->
+                                                        done.thenApply(
+                                                                changeResponse(
+                                                                        OperatorJson::object)))
+                                        .orElseGet(() -> completed(unknown("backend/" + name))));
     }
 
-    /** Reports the status of the fleet as this host sees it. */
+    /** Returns the status of the fleet as seen by this host. */
     @Get("/status")
     public HttpResponse status() {
         return json(OperatorJson.status(mStatus.report()));
     }
 
-    /** Tells what was decided for a request. */
+    /** Returns the decisions made for a request. */
     @Get("/explain/{request}")
     public HttpResponse explain(@Param("request") String request) {
         return requestId(request)
@@ -126,22 +133,22 @@
             ObjectKey key, String spec, AggregatedHttpRequest request) {
         return ChangeHeaders.read(request.headers())
                 .fold(
-                        problem -> now(problem),
+                        problem -> completed(problem),
                         headers ->
                                 mAdmin.put(key, spec, headers.precondition(), headers.change())
-                                        .thenApply(change(OperatorJson::object)));
+                                        .thenApply(changeResponse(OperatorJson::object)));
     }
 
     private CompletableFuture<HttpResponse> delete(ObjectKey key, AggregatedHttpRequest request) {
         return ChangeHeaders.read(request.headers())
                 .fold(
-                        problem -> now(problem),
+                        problem -> completed(problem),
                         headers ->
                                 mAdmin.delete(key, headers.precondition(), headers.change())
-                                        .thenApply(change(OperatorJson::deleted)));
+                                        .thenApply(changeResponse(OperatorJson::deleted)));
     }
 
-    private static <T> Function<Either<Refusal, T>, HttpResponse> answer(
+    private static <T> Function<Either<Refusal, T>, HttpResponse> readResponse(
             Function<T, ObjectNode> form) {
         return result ->
                 result.fold(
@@ -149,16 +156,16 @@
                         value -> json(form.apply(value)));
     }
 
-    private static <T> Function<Either<ChangeRefusal, T>, HttpResponse> change(
+    private static <T> Function<Either<ChangeRefusal, T>, HttpResponse> changeResponse(
             Function<T, ObjectNode> form) {
         return result ->
                 result.fold(
                         refusal -> problem(refusal).response(), value -> json(form.apply(value)));
     }
 
-    private static HttpResponse found(
-            ObjectKey key, Either<Refusal, Optional<StoredObject>> answer) {
-        return answer.fold(
+    private static HttpResponse findResponse(
+            ObjectKey key, Either<Refusal, Optional<StoredObject>> result) {
+        return result.fold(
                 refusal -> Problem.of(refusal).response(),
                 stored ->
                         stored.map(object -> json(OperatorJson.object(object)))
@@ -195,7 +202,7 @@
         }
     }
 
-    private static CompletableFuture<HttpResponse> now(Problem problem) {
+    private static CompletableFuture<HttpResponse> completed(Problem problem) {
         return CompletableFuture.completedFuture(problem.response());
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorJson.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorJson.java
@@ -15,7 +15,7 @@
 import org.cyclamenpaddle.router.explain.Decision;
 import org.cyclamenpaddle.router.explain.Explanation;
 
-/** JSON documents of the operators' API. */
+/** Converts the values of the operator API to and from JSON documents. */
 final class OperatorJson {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/Precondition.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/Precondition.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /**
- * What must hold of an object for a change of it to be made.
+ * Condition that a stored object must meet for a change to be applied.
  *
  * @param version the version that the operator saw; empty if the object must not exist
  */
@@ -21,7 +21,7 @@
         return new Precondition(OptionalLong.empty());
     }
 
-    /** Returns the precondition that the object still is at {@code version}. */
+    /** Returns the precondition that the current version of the object is {@code version}. */
     public static Precondition at(long version) {
         return new Precondition(OptionalLong.of(version));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/StatusReport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/StatusReport.java
@@ -10,14 +10,14 @@
 import org.cyclamenpaddle.core.outcome.RetryReason;
 
 /**
- * The fleet as one host sees it.
+ * Status of the fleet as seen by one host.
  *
  * @param reporter the host that reports
  * @param presetInForce preset in force on the reporting host
- * @param inForceVersion version of the object that names it; 0 if none
- * @param platformReachable whether the platform answered lately
- * @param hosts every known entry host, the reporting one too
- * @param backends every declared backend server
+ * @param inForceVersion version of the object that selects that preset; 0 if none
+ * @param platformReachable whether the platform responded recently
+ * @param hosts all known entry hosts, including the reporting one
+ * @param backends all declared backend servers
  * @param refusals refusals of the reporting host since its start, by reason
  * @param retries retries of the reporting host since its start, by reason
  */
@@ -33,7 +33,7 @@
 
     public StatusReport {
         if (reporter == null || presetInForce == null) {
-            throw new IllegalArgumentException("status report lacks a part: " + reporter);
+            throw new IllegalArgumentException("status report has a null component: " + reporter);
         }
         hosts = List.copyOf(hosts);
         backends = List.copyOf(backends);
@@ -41,12 +41,15 @@
         retries = Map.copyOf(retries);
     }
 
-    /** Returns the hosts that are expected to take new work. */
+    /** Returns the number of live hosts, which are expected to accept new work. */
     public long hostsAlive() {
         return hosts.stream().filter(host -> host.state() == HostState.ALIVE).count();
     }
 
-    /** Returns the live hosts on which the same choice of preset is in force as here. */
+    /**
+     * Returns the number of live hosts with the same preset selection in force as the reporting
+     * host.
+     */
     public long hostsInForce() {
         return hosts.stream()
                 .filter(host -> host.state() == HostState.ALIVE)
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/StatusSource.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/StatusSource.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.router.operator;
 
-/** Source of the status of the fleet as this host sees it. */
+/** Provides the status of the fleet as seen by this host. */
 @FunctionalInterface
 public interface StatusSource {
 
-    /** Returns the status now, from tables in memory. */
+    /** Returns the current status, from in-memory tables. */
     StatusReport report();
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' API over HTTP, and the narrow roles of the host that it is built over. */
+/** The operator API over HTTP, and the narrow interfaces of the host that it depends on. */
 package org.cyclamenpaddle.router.operator;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/FakeAdmin.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/FakeAdmin.java
@@ -13,28 +13,28 @@
 import org.cyclamenpaddle.core.outcome.Refusal;
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
-/** Configuration objects in memory, with one racing edit on demand. */
+/** In-memory configuration objects, with one concurrent edit on demand. */
 final class FakeAdmin implements ConfigurationAdmin {
 
     private final Map<ObjectKey, StoredObject> mObjects = new TreeMap<>();
     private long mRevision;
-    private boolean mAway;
+    private boolean mUnreachable;
     private Optional<String> mRacingSpec = Optional.empty();
 
-    /** Makes {@code spec} be written by another operator right before the next change. */
+    /** Writes {@code spec} in the name of another operator right before the next change. */
     void raceOnce(String spec) {
         mRacingSpec = Optional.of(spec);
     }
 
-    /** Forgets every object and starts over with version 1. */
+    /** Removes all objects and restarts at version 1. */
     void clear() {
         mObjects.clear();
         mRevision = 0;
-        mAway = false;
+        mUnreachable = false;
     }
 
-    void goAway() {
-        mAway = true;
+    void setUnreachable() {
+        mUnreachable = true;
     }
 
     StoredObject write(ObjectKey key, String spec, String change) {
@@ -90,8 +90,8 @@
 
     private <T> CompletableFuture<Either<Refusal, T>> read(T value) {
         return CompletableFuture.completedFuture(
-                mAway
-                        ? Either.left(Refusal.of(RefusalReason.PLATFORM_AWAY, "no answer"))
+                mUnreachable
+                        ? Either.left(Refusal.of(RefusalReason.PLATFORM_AWAY, "no response"))
                         : Either.right(value));
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
@@ -73,8 +73,8 @@
     @Test
     public void createsShowsListsAndDeletes() {
         AggregatedHttpResponse created = put("service/malt-reader", "{\"a\": 1}", "none", "c-1");
-        JsonNode shown = body(ask(HttpMethod.GET, "/objects/service/malt-reader"));
-        JsonNode listed = body(ask(HttpMethod.GET, "/objects/service"));
+        JsonNode shown = body(request(HttpMethod.GET, "/objects/service/malt-reader"));
+        JsonNode listed = body(request(HttpMethod.GET, "/objects/service"));
         AggregatedHttpResponse deleted =
                 send(HttpMethod.DELETE, "/objects/service/malt-reader", "", "1", "c-2");
 
@@ -84,13 +84,14 @@
         assertEquals(shown.path("spec").path("a").asInt(), 1);
         assertEquals(listed.path("objects").get(0).path("name").asText(), "malt-reader");
         assertEquals(body(deleted).path("version").asLong(), 2);
-        assertEquals(ask(HttpMethod.GET, "/objects/service/malt-reader").status().code(), 404);
+        assertEquals(request(HttpMethod.GET, "/objects/service/malt-reader").status().code(), 404);
     }
 
-    // Two operators edit one object. The second one's change is refused, and the answer shows the
-    // object as the first one left it, with the change id, so that it can be told who won.
+    // Two operators edit the same object concurrently. The second change is refused, and the
+    // response contains the object as written by the first change, with its change id, so that the
+    // second operator can tell which change was applied.
     @Test
-    public void theLoserOfARaceIsToldWhoWon() {
+    public void conflictResponseContainsTheCurrentObject() {
         put("service/malt-reader", "{\"a\": 1}", "none", "c-1");
         put("service/malt-reader", "{\"a\": 2}", "1", "c-first");
 
@@ -116,18 +117,17 @@
     }
 
     @Test(dataProvider = "badChanges")
-    public void refusesAChangeThatCouldNotBeSettled(
-            String body, String version, String change, String detail) {
-        AggregatedHttpResponse answer =
+    public void refusesAMalformedChange(String body, String version, String change, String detail) {
+        AggregatedHttpResponse response =
                 send(HttpMethod.PUT, "/objects/service/malt-reader", body, version, change);
 
-        assertEquals(answer.status().code(), 400);
-        assertTrue(body(answer).path("detail").asText().contains(detail), answer.contentUtf8());
+        assertEquals(response.status().code(), 400);
+        assertTrue(body(response).path("detail").asText().contains(detail), response.contentUtf8());
         assertEquals(mAdmin.list(ObjectKind.SERVICE).join().get(), List.of());
     }
 
     @Test
-    public void answersUnknownKindsNamesAndRequestsWith404() {
+    public void returns404ForUnknownKindsNamesAndRequests() {
         for (String path :
                 List.of(
                         "/objects/cats",
@@ -135,20 +135,20 @@
                         "/objects/in-force/other",
                         "/explain/r-none",
                         "/explain/%20")) {
-            AggregatedHttpResponse answer = ask(HttpMethod.GET, path);
-            assertEquals(answer.status().code(), 404, path);
-            assertEquals(body(answer).path("reason").asText(), "unknown-object", path);
+            AggregatedHttpResponse response = request(HttpMethod.GET, path);
+            assertEquals(response.status().code(), 404, path);
+            assertEquals(body(response).path("reason").asText(), "unknown-object", path);
         }
     }
 
     @Test
-    public void saysThatThePlatformIsAway() {
-        mAdmin.goAway();
+    public void reportsAnUnreachablePlatform() {
+        mAdmin.setUnreachable();
 
-        AggregatedHttpResponse answer = ask(HttpMethod.GET, "/objects/service");
+        AggregatedHttpResponse response = request(HttpMethod.GET, "/objects/service");
 
-        assertEquals(answer.status().code(), 503);
-        assertEquals(answer.headers().get("retry-after"), "1");
+        assertEquals(response.status().code(), 503);
+        assertEquals(response.headers().get("retry-after"), "1");
     }
 
     @Test
@@ -163,23 +163,23 @@
         assertEquals(body(again).path("version").asLong(), body(first).path("version").asLong());
     }
 
-    // An operator drains a backend server while another one changes its slots. Without a new try
-    // from the winner the drain would be refused, or the other edit would be lost.
+    // An operator drains a backend server while another one changes its slots. Without a retry from
+    // the current version, the drain would be refused or the other edit would be lost.
     @Test
     public void drainKeepsARacingEdit() {
         mAdmin.write(BACKEND, "{\"slots\": 20}", "c-1");
         mAdmin.raceOnce("{\"slots\": 18}");
 
-        AggregatedHttpResponse answer = drain();
+        AggregatedHttpResponse response = drain();
 
-        assertEquals(answer.status().code(), 200, answer.contentUtf8());
-        assertEquals(body(answer).path("spec").path("slots").asInt(), 18);
-        assertEquals(body(answer).path("spec").path("leaving").asBoolean(), true);
+        assertEquals(response.status().code(), 200, response.contentUtf8());
+        assertEquals(body(response).path("spec").path("slots").asInt(), 18);
+        assertEquals(body(response).path("spec").path("leaving").asBoolean(), true);
     }
 
     @Test
     public void reportsStatus() {
-        JsonNode status = body(ask(HttpMethod.GET, "/status"));
+        JsonNode status = body(request(HttpMethod.GET, "/status"));
 
         assertEquals(status.path("presetInForce").asText(), "peak");
         assertEquals(status.path("hostsAlive").asInt(), 2);
@@ -194,7 +194,7 @@
     public void explainsARequest() {
         mDecisions.record(new RequestId("r-1"), DecisionStep.GRANT_ASKED, "ahm-d1");
 
-        JsonNode explained = body(ask(HttpMethod.GET, "/explain/r-1"));
+        JsonNode explained = body(request(HttpMethod.GET, "/explain/r-1"));
 
         assertEquals(explained.path("request").asText(), "r-1");
         assertEquals(explained.path("decisions").get(0).path("step").asText(), "grant-asked");
@@ -226,7 +226,7 @@
                 Map.of(RetryReason.ENGINE_FULL, 5L));
     }
 
-    private AggregatedHttpResponse ask(HttpMethod method, String path) {
+    private AggregatedHttpResponse request(HttpMethod method, String path) {
         return mClient.execute(RequestHeaders.of(method, OperatorApi.PREFIX + path))
                 .aggregate()
                 .join();
@@ -255,7 +255,7 @@
         return mClient.execute(headers.build(), body).aggregate().join();
     }
 
-    private static JsonNode body(AggregatedHttpResponse answer) {
-        return OperatorJson.read(answer.contentUtf8()).orElseThrow();
+    private static JsonNode body(AggregatedHttpResponse response) {
+        return OperatorJson.read(response.contentUtf8()).orElseThrow();
     }
 }
