--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/IpNumbers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/IpAddresses.java
@@ -2,12 +2,12 @@
 
 import io.netty.util.NetUtil;
 
-/** Checks of IP numbers that never ask a name service. */
-final class IpNumbers {
+/** Validates literal IP addresses without a name lookup. */
+final class IpAddresses {
 
-    private IpNumbers() {}
+    private IpAddresses() {}
 
-    static boolean valid(String text) {
+    static boolean isValid(String text) {
         return NetUtil.isValidIpV4Address(text) || NetUtil.isValidIpV6Address(text);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/LogFormat.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/LogFormat.java
@@ -1,9 +1,9 @@
 package org.cyclamenpaddle.router.settings;
 
-/** Form of log lines. */
+/** Format of log lines. */
 public enum LogFormat {
-    /** For people: time, level, code, sentence, fields. */
+    /** Human-readable text: time, level, code, message, fields. */
     HUMAN,
-    /** One JSON object a line. */
+    /** One JSON object per line. */
     JSON
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/PeerAddress.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/PeerAddress.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Where another entry host listens for its peers.
+ * Address on which another entry host listens for its peers.
  *
- * @param address IP number, without brackets
+ * @param address literal IP address, without brackets
  * @param port TCP port, 1 to 65535
  */
 public record PeerAddress(String address, int port) {
@@ -13,7 +13,7 @@
     private static final int MAX_PORT = 65_535;
 
     public PeerAddress {
-        if (address == null || !IpNumbers.valid(address)) {
+        if (address == null || !IpAddresses.isValid(address)) {
             throw new IllegalArgumentException("peer address '" + address + "' is no IP number");
         }
         if (port < 1 || port > MAX_PORT) {
@@ -21,7 +21,10 @@
         }
     }
 
-    /** Returns the address in {@code text}, as in {@code 127.0.0.1:7201} or {@code [::1]:7201}. */
+    /**
+     * Parses an address such as {@code 127.0.0.1:7201} or {@code [::1]:7201}; empty if {@code text}
+     * is malformed.
+     */
     public static Optional<PeerAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/RouterSettings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/RouterSettings.java
@@ -7,16 +7,16 @@
 import org.cyclamenpaddle.routing.placement.PlacementPolicy;
 
 /**
- * Settings of one entry host, read once at its start.
+ * Settings of one entry host, read once at startup.
  *
- * @param host who and where this host is
- * @param platform where the platform's service is
- * @param peers where other entry hosts are
- * @param limits bounds on what callers may ask
+ * @param host identity and addresses of this host
+ * @param platform address of the platform's service
+ * @param peers addresses of other entry hosts
+ * @param limits limits on requests of callers
  * @param timing periods and timeouts
  * @param routing how requests are placed
- * @param bookings claims of calls that may not repeat
- * @param log form of the log
+ * @param bookings claims of calls that must not be repeated
+ * @param log format and level of the log
  */
 public record RouterSettings(
         Host host,
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Who and where this host is.
+     * Identity and addresses of this host.
      *
      * @param name its name
      * @param failureDomain its failure domain
-     * @param address IP number that it listens on
+     * @param address literal IP address that it listens on
      * @param httpPort port for callers and operators
      * @param peerPort port for other entry hosts
      */
@@ -64,32 +64,32 @@
                     new HostId(values.text(SettingKey.HOST_NAME)),
                     new FailureDomain(values.text(SettingKey.HOST_FAILURE_DOMAIN)),
                     values.text(SettingKey.HOST_ADDRESS),
-                    values.number(SettingKey.HOST_HTTP_PORT),
-                    values.number(SettingKey.HOST_PEER_PORT));
+                    values.intValue(SettingKey.HOST_HTTP_PORT),
+                    values.intValue(SettingKey.HOST_PEER_PORT));
         }
     }
 
     /**
-     * Where the platform's service is.
+     * Address of the platform's service.
      *
-     * @param address IP number
+     * @param address literal IP address
      * @param port TCP port
-     * @param timeoutMillis longest wait for one answer, in milliseconds
+     * @param timeoutMillis maximum wait for one response, in milliseconds
      */
     public record Platform(String address, int port, long timeoutMillis) {
 
         static Platform of(SettingValues values) {
             return new Platform(
                     values.text(SettingKey.PLATFORM_ADDRESS),
-                    values.number(SettingKey.PLATFORM_PORT),
-                    values.millis(SettingKey.PLATFORM_TIMEOUT));
+                    values.intValue(SettingKey.PLATFORM_PORT),
+                    values.longValue(SettingKey.PLATFORM_TIMEOUT));
         }
     }
 
     /**
-     * Where other entry hosts are.
+     * Addresses of other entry hosts.
      *
-     * @param seeds peer ports of a few of them
+     * @param seeds peer addresses of some of them
      */
     public record Peers(List<PeerAddress> seeds) {
 
@@ -99,13 +99,14 @@
     }
 
     /**
-     * Bounds on what callers may ask.
+     * Limits on requests of callers.
      *
-     * @param bodyBytes longest request body, in bytes
-     * @param promptTokens longest prompt, in estimated tokens
-     * @param concurrentRequests requests in flight on this host
-     * @param retryShare retries for each fresh request, 0 to 1
-     * @param quarantineMillis how long a crashing request is refused, in milliseconds
+     * @param bodyBytes maximum size of a request body, in bytes
+     * @param promptTokens maximum length of a prompt, in estimated tokens
+     * @param concurrentRequests maximum number of requests in flight on this host
+     * @param retryShare retries allowed per new request, 0 to 1
+     * @param quarantineMillis time for which a request that crashed backend servers is refused, in
+     *     milliseconds
      */
     public record Limits(
             long bodyBytes,
@@ -116,22 +117,22 @@
 
         static Limits of(SettingValues values) {
             return new Limits(
-                    values.millis(SettingKey.LIMITS_BODY_BYTES),
-                    values.number(SettingKey.LIMITS_PROMPT_TOKENS),
-                    values.number(SettingKey.LIMITS_CONCURRENT_REQUESTS),
-                    values.share(SettingKey.LIMITS_RETRY_SHARE),
-                    values.millis(SettingKey.LIMITS_QUARANTINE));
+                    values.longValue(SettingKey.LIMITS_BODY_BYTES),
+                    values.intValue(SettingKey.LIMITS_PROMPT_TOKENS),
+                    values.intValue(SettingKey.LIMITS_CONCURRENT_REQUESTS),
+                    values.doubleValue(SettingKey.LIMITS_RETRY_SHARE),
+                    values.longValue(SettingKey.LIMITS_QUARANTINE));
         }
     }
 
     /**
      * Periods and timeouts, all in milliseconds.
      *
-     * @param reconcileMillis time between comparisons of backend servers with the preset
-     * @param stopGraceMillis time in a planned stop for the balancer to turn away
-     * @param loadPollMillis time between reads of an engine's load
+     * @param reconcileMillis interval at which backend servers are compared with the preset
+     * @param stopGraceMillis time in a planned stop for the load balancer to stop sending requests
+     * @param loadPollMillis interval at which an engine's load is polled
      * @param streamSilenceMillis silence after which a token stream is resumed
-     * @param transferMillis longest transfer of KV cache
+     * @param transferMillis timeout for a transfer of KV cache
      */
     public record Timing(
             long reconcileMillis,
@@ -142,11 +143,11 @@
 
         static Timing of(SettingValues values) {
             return new Timing(
-                    values.millis(SettingKey.TIMING_RECONCILE),
-                    values.millis(SettingKey.TIMING_STOP_GRACE),
-                    values.millis(SettingKey.TIMING_LOAD_POLL),
-                    values.millis(SettingKey.TIMING_STREAM_SILENCE),
-                    values.millis(SettingKey.TIMING_TRANSFER));
+                    values.longValue(SettingKey.TIMING_RECONCILE),
+                    values.longValue(SettingKey.TIMING_STOP_GRACE),
+                    values.longValue(SettingKey.TIMING_LOAD_POLL),
+                    values.longValue(SettingKey.TIMING_STREAM_SILENCE),
+                    values.longValue(SettingKey.TIMING_TRANSFER));
         }
     }
 
@@ -154,37 +155,37 @@
      * How requests are placed.
      *
      * @param policy how backend servers are ordered
-     * @param expectedOutputTokens output tokens expected of a request without a history
+     * @param expectedOutputTokens output tokens expected of a request whose service has no history
      */
     public record Routing(PlacementPolicy policy, int expectedOutputTokens) {
 
         static Routing of(SettingValues values) {
             return new Routing(
                     PlacementPolicy.valueOf(values.text(SettingKey.ROUTING_POLICY)),
-                    values.number(SettingKey.ROUTING_EXPECTED_OUTPUT_TOKENS));
+                    values.intValue(SettingKey.ROUTING_EXPECTED_OUTPUT_TOKENS));
         }
     }
 
     /**
-     * Claims of calls that may not repeat.
+     * Claims of calls that must not be repeated.
      *
-     * @param retentionHours how long a claim is kept, in hours
-     * @param shards objects that claims are spread over
+     * @param retentionHours retention period of a claim, in hours
+     * @param shards number of objects that claims are distributed over
      */
     public record Bookings(int retentionHours, int shards) {
 
         static Bookings of(SettingValues values) {
             return new Bookings(
-                    values.number(SettingKey.BOOKINGS_RETENTION),
-                    values.number(SettingKey.BOOKINGS_SHARDS));
+                    values.intValue(SettingKey.BOOKINGS_RETENTION),
+                    values.intValue(SettingKey.BOOKINGS_SHARDS));
         }
     }
 
     /**
-     * Form of the log.
+     * Format and level of the log.
      *
-     * @param format form of its lines
-     * @param level least severe level that is written, lower case
+     * @param format format of its lines
+     * @param level least severe level that is written, in lower case
      */
     public record Log(LogFormat format, String level) {
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingKey.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingKey.java
@@ -8,31 +8,30 @@
 import org.cyclamenpaddle.routing.placement.PlacementPolicy;
 
 /**
- * Every key of a settings file: its section, form, default and meaning.
+ * Keys of a settings file, with section, type, default and description.
  *
- * <p>This table drives the check of a file and the page {@code docs/SETTINGS.md}.
+ * <p>This table drives the validation of settings files; {@code docs/SETTINGS.md} must match it.
  */
 public enum SettingKey {
     HOST_NAME("host", "name", SettingType.NAME, "Name of this entry host, unique in the fleet."),
-    HOST_FAILURE_DOMAIN(
-            "host", "failure_domain", SettingType.NAME, "Failure domain that this host stands in."),
+    HOST_FAILURE_DOMAIN("host", "failure_domain", SettingType.NAME, "Failure domain of this host."),
     HOST_ADDRESS(
             "host",
             "address",
             SettingType.IP_ADDRESS,
             "IP number that this host listens on and that peers use to reach it."),
-    HOST_HTTP_PORT("host", "http_port", ports(), whole(7_100), "Port for callers and operators."),
-    HOST_PEER_PORT("host", "peer_port", ports(), whole(7_200), "Port for other entry hosts."),
+    HOST_HTTP_PORT("host", "http_port", ports(), integer(7_100), "Port for callers and operators."),
+    HOST_PEER_PORT("host", "peer_port", ports(), integer(7_200), "Port for other entry hosts."),
 
     PLATFORM_ADDRESS(
             "platform", "address", SettingType.IP_ADDRESS, "IP number of the platform's service."),
-    PLATFORM_PORT("platform", "port", ports(), whole(7_000), "Port of the platform's service."),
+    PLATFORM_PORT("platform", "port", ports(), integer(7_000), "Port of the platform's service."),
     PLATFORM_TIMEOUT(
             "platform",
             "timeout_ms",
             SettingRange.between(10, 60_000),
-            whole(1_000),
-            "Longest wait for the platform's answer to one call, in milliseconds."),
+            integer(1_000),
+            "Longest wait for the platform's response to one call, in milliseconds."),
 
     PEERS_SEEDS(
             "peers",
@@ -40,71 +39,71 @@
             SettingType.ADDRESSES,
             SettingRange.ANY,
             JsonNodeFactory.instance.arrayNode(),
-            "Peer ports of a few entry hosts, asked for members and for the configuration while"
-                    + " the platform is away."),
+            "Peer ports of a few entry hosts, queried for members and for the configuration while"
+                    + " the platform is unreachable."),
 
     LIMITS_BODY_BYTES(
             "limits",
             "body_bytes",
             SettingRange.between(1_024, 1L << 28),
-            whole(4L << 20),
+            integer(4L << 20),
             "Longest request body, in bytes."),
     LIMITS_PROMPT_TOKENS(
             "limits",
             "prompt_tokens",
             SettingRange.between(1, 1_000_000),
-            whole(65_536),
+            integer(65_536),
             "Longest prompt, in estimated tokens."),
     LIMITS_CONCURRENT_REQUESTS(
             "limits",
             "concurrent_requests",
             SettingRange.between(1, 1_000_000),
-            whole(4_096),
+            integer(4_096),
             "Requests of one service in progress on this host; from four fifths of it on, each"
-                    + " team is held to its share."),
+                    + " team is limited to its share."),
     LIMITS_RETRY_SHARE(
             "limits",
             "retry_share",
             SettingType.FRACTION,
             SettingRange.between(0, 1),
-            share(0.1),
+            fraction(0.1),
             "Retries allowed for each fresh request of a service."),
     LIMITS_QUARANTINE(
             "limits",
             "quarantine_ms",
             SettingRange.between(1_000, 86_400_000),
-            whole(600_000),
+            integer(600_000),
             "How long a request that crashed backend servers is refused, in milliseconds."),
 
     TIMING_RECONCILE(
             "timing",
             "reconcile_ms",
             SettingRange.between(10, 60_000),
-            whole(1_000),
+            integer(1_000),
             "Time between comparisons of backend servers with the preset, in milliseconds."),
     TIMING_STOP_GRACE(
             "timing",
             "stop_grace_ms",
             SettingRange.between(0, 3_600_000),
-            whole(30_000),
-            "Time in a planned stop for the balancer to turn away, in milliseconds."),
+            integer(30_000),
+            "Time in a planned stop for the balancer to stop sending requests, in milliseconds."),
     TIMING_LOAD_POLL(
             "timing",
             "load_poll_ms",
             SettingRange.between(10, 60_000),
-            whole(250),
+            integer(250),
             "Time between reads of an engine's load, in milliseconds."),
     TIMING_STREAM_SILENCE(
             "timing",
             "stream_silence_ms",
             SettingRange.between(10, 600_000),
-            whole(1_500),
+            integer(1_500),
             "Silence after which a token stream is resumed by a new connection, in milliseconds."),
     TIMING_TRANSFER(
             "timing",
             "transfer_ms",
             SettingRange.between(1, 60_000),
-            whole(1_500),
+            integer(1_500),
             "Longest transfer of KV cache, in milliseconds."),
 
     ROUTING_POLICY(
@@ -118,20 +117,20 @@
             "routing",
             "expected_output_tokens",
             SettingRange.between(1, 100_000),
-            whole(128),
+            integer(128),
             "Output tokens expected of a request before its service has a history."),
 
     BOOKINGS_RETENTION(
             "bookings",
             "retention_hours",
             SettingRange.between(1, 720),
-            whole(24),
+            integer(24),
             "How long the claim of an Idempotency-Key is kept, in hours."),
     BOOKINGS_SHARDS(
             "bookings",
             "shards",
             SettingRange.between(1, 4_096),
-            whole(64),
+            integer(64),
             "Objects that claims are spread over; the same on every host."),
 
     LOG_FORMAT(
@@ -189,12 +188,12 @@
         mDescription = description;
     }
 
-    /** Returns the key as written in messages: {@code section.key}. */
+    /** Returns the qualified key for messages: {@code section.key}. */
     public String path() {
         return mSection + "." + mKey;
     }
 
-    /** Returns the section that holds the key. */
+    /** Returns the section that contains the key. */
     public String section() {
         return mSection;
     }
@@ -204,22 +203,22 @@
         return mKey;
     }
 
-    /** Returns the value used when the file has none; empty if the file must have one. */
+    /** Returns the default value; empty if the file must contain the key. */
     public Optional<JsonNode> defaultValue() {
         return mDefault;
     }
 
-    /** Returns what is allowed, for messages and the docs page. */
+    /** Returns a description of the allowed values, for messages and the documentation. */
     public String allowed() {
         return mType.allowed(mRange);
     }
 
-    /** Returns one sentence on what the setting does, with its unit. */
+    /** Returns a one-sentence description of the setting, with its unit. */
     public String description() {
         return mDescription;
     }
 
-    /** Returns the key that {@code section} and {@code key} name. */
+    /** Finds a key by section and name. */
     public static Optional<SettingKey> find(String section, String key) {
         return inSection(section).stream().filter(k -> k.mKey.equals(key)).findFirst();
     }
@@ -237,11 +236,11 @@
         return SettingRange.between(1, 65_535);
     }
 
-    private static JsonNode whole(long value) {
+    private static JsonNode integer(long value) {
         return JsonNodeFactory.instance.numberNode(value);
     }
 
-    private static JsonNode share(double value) {
+    private static JsonNode fraction(double value) {
         return JsonNodeFactory.instance.numberNode(value);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingRange.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingRange.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 
 /**
- * Values that a setting may have: numbers between bounds or one of a few words.
+ * Allowed values of a setting: a range of numbers, or a set of words.
  *
- * @param least smallest number
- * @param greatest greatest number
- * @param words allowed words in the order of the docs; empty for numbers
+ * @param least smallest allowed number
+ * @param greatest greatest allowed number
+ * @param choices allowed words in the order of the documentation; empty for numbers
  */
-record SettingRange(double least, double greatest, Set<String> words) {
+record SettingRange(double least, double greatest, Set<String> choices) {
 
     static final SettingRange ANY =
             new SettingRange(Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Set.of());
 
     SettingRange {
         if (least > greatest) {
-            throw new IllegalArgumentException("range from " + least + " to " + greatest);
+            throw new IllegalArgumentException("invalid range: from " + least + " to " + greatest);
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingType.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingType.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Form of a setting's value, with the check that a value has it. */
+/** Type of a setting's value, with its validation. */
 public enum SettingType {
     /** Name of a host or failure domain. */
     NAME("1 to 128 letters, digits, '.', '_', ':' or '-', a letter or digit first") {
@@ -13,14 +13,16 @@
             return value.isTextual() && NAME_FORM.matcher(value.textValue()).matches();
         }
     },
-    /** IP number; names are refused because entry hosts use no name service. */
+    /**
+     * Literal IP address; host names are rejected because entry hosts do not use a name service.
+     */
     IP_ADDRESS("an IP number such as \"127.0.0.1\"") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
-            return value.isTextual() && IpNumbers.valid(value.textValue());
+            return value.isTextual() && IpAddresses.isValid(value.textValue());
         }
     },
-    /** Whole number within its range. */
+    /** Integer within its range. */
     INTEGER("a whole number") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
@@ -29,18 +31,18 @@
                     && range.contains(value.longValue());
         }
     },
-    /** Fraction within its range. */
+    /** Decimal number within its range. */
     FRACTION("a number") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
             return value.isNumber() && range.contains(value.doubleValue());
         }
     },
-    /** One of a few words. */
+    /** One of a fixed set of words. */
     CHOICE("one of") {
         @Override
         boolean accepts(JsonNode value, SettingRange range) {
-            return value.isTextual() && range.words().contains(value.textValue());
+            return value.isTextual() && range.choices().contains(value.textValue());
         }
     },
     /** List of addresses with ports. */
@@ -60,12 +62,12 @@
         mForm = form;
     }
 
-    /** Returns whether {@code value} has this form and lies within {@code range}. */
+    /** Returns whether {@code value} is of this type and lies within {@code range}. */
     abstract boolean accepts(JsonNode value, SettingRange range);
 
-    /** Returns what is allowed, for messages and the docs page. */
+    /** Returns a description of the allowed values, for messages and the documentation. */
     String allowed(SettingRange range) {
-        Set<String> words = range.words();
+        Set<String> words = range.choices();
         if (!words.isEmpty()) {
             return mForm + " \"" + String.join("\", \"", words) + "\"";
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingValues.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingValues.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked values of all keys, with the defaults filled in. */
+/** Validated values of all keys, including defaults. */
 record SettingValues(Map<SettingKey, JsonNode> values) {
 
     String text(SettingKey key) {
         return values.get(key).textValue();
     }
 
-    int number(SettingKey key) {
-        return Math.toIntExact(millis(key));
+    int intValue(SettingKey key) {
+        return Math.toIntExact(longValue(key));
     }
 
-    long millis(SettingKey key) {
+    long longValue(SettingKey key) {
         return values.get(key).longValue();
     }
 
-    double share(SettingKey key) {
+    double doubleValue(SettingKey key) {
         return values.get(key).doubleValue();
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingsError.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingsError.java
@@ -1,16 +1,16 @@
 package org.cyclamenpaddle.router.settings;
 
 /**
- * Why a settings file was refused.
+ * Reason why a settings file was rejected.
  *
- * @param file the file
- * @param location the key, or line and column where the file is no TOML
- * @param problem what is wrong there
- * @param allowed what is allowed there instead
+ * @param file name of the file
+ * @param location the key, or line and column if the file is not valid TOML
+ * @param problem description of the error
+ * @param allowed description of the allowed values
  */
 public record SettingsError(String file, String location, String problem, String allowed) {
 
-    /** Returns the whole message on one line. */
+    /** Returns the full message on one line. */
     public String message() {
         return file + ": " + location + ": " + problem + "; allowed: " + allowed;
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingsReader.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/SettingsReader.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Reads settings files and checks every key against {@link SettingKey}. */
+/** Reads settings files and validates every key against {@link SettingKey}. */
 public final class SettingsReader {
 
     private static final TomlMapper MAPPER = new TomlMapper();
@@ -23,10 +23,10 @@
     private SettingsReader() {}
 
     /**
-     * Reads and checks a settings file.
+     * Reads and validates a settings file.
      *
      * @param file path of a TOML file
-     * @return the settings, or the first thing wrong with the file
+     * @return the settings, or the first error in the file
      */
     public static Either<SettingsError, RouterSettings> read(Path file) {
         String name = file.toString();
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Checks the text of a settings file.
+     * Parses and validates the text of a settings file.
      *
-     * @param file name for messages
+     * @param file file name for error messages
      * @param text TOML
-     * @return the settings, or the first thing wrong with the text
+     * @return the settings, or the first error in the text
      */
     public static Either<SettingsError, RouterSettings> parse(String file, String text) {
         try {
@@ -56,23 +56,23 @@
             return Either.left(
                     new SettingsError(
                             file,
-                            place(malformed.getLocation()),
+                            location(malformed.getLocation()),
                             malformed.getOriginalMessage(),
                             "TOML 1.0"));
         }
     }
 
-    private static String place(JsonLocation location) {
+    private static String location(JsonLocation location) {
         return location == null
                 ? "file"
                 : "line " + location.getLineNr() + ", column " + location.getColumnNr();
     }
 
-    /** One pass over the tree of one file. */
+    /** Validates the parsed tree of one file. */
     private record Check(String file) {
 
         Either<SettingsError, RouterSettings> settings(JsonNode root) {
-            return Stream.concat(unknown(root), missingOrBad(root))
+            return Stream.concat(unknown(root), missingOrInvalid(root))
                     .findFirst()
                     .<Either<SettingsError, RouterSettings>>map(Either::left)
                     .orElseGet(() -> build(values(root)));
@@ -118,7 +118,7 @@
                                             keys(section)));
         }
 
-        private Stream<SettingsError> missingOrBad(JsonNode root) {
+        private Stream<SettingsError> missingOrInvalid(JsonNode root) {
             return Arrays.stream(SettingKey.values())
                     .map(key -> problem(key, value(root, key)))
                     .flatMap(Optional::stream);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of an entry host: the catalogue of keys, the reader of TOML files and the records. */
+/** Settings of an entry host: the catalogue of keys, the TOML reader and the settings records. */
 package org.cyclamenpaddle.router.settings;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/settings/SettingsReaderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/settings/SettingsReaderTest.java
@@ -13,7 +13,7 @@
 
 public class SettingsReaderTest {
 
-    private static final String LEAST =
+    private static final String MINIMAL =
             """
             [host]
             name = "entry-ahm-1"
@@ -25,7 +25,7 @@
 
     @Test
     public void fillsInDefaults() {
-        RouterSettings settings = SettingsReader.parse("a.toml", LEAST).get();
+        RouterSettings settings = SettingsReader.parse("a.toml", MINIMAL).get();
 
         assertEquals(settings.host().name().value(), "entry-ahm-1");
         assertEquals(settings.limits().bodyBytes(), 4_194_304);
@@ -38,7 +38,7 @@
     @Test
     public void readsEverySection() {
         String text =
-                LEAST
+                MINIMAL
                         + """
                         port = 7999
                         [peers]
@@ -80,7 +80,7 @@
     @Test(dataProvider = "refused")
     public void namesFileKeyAndWhatIsAllowed(
             String extra, String where, String problem, String allowed) {
-        String text = extra.startsWith("[") ? LEAST + extra : extra + "\n" + LEAST;
+        String text = extra.startsWith("[") ? MINIMAL + extra : extra + "\n" + MINIMAL;
 
         SettingsError error = SettingsReader.parse("a.toml", text).getLeft();
 
@@ -92,7 +92,7 @@
 
     @Test
     public void refusesValuesThatContradictEachOther() {
-        String text = LEAST.replace("[platform]", "http_port = 7200\n[platform]");
+        String text = MINIMAL.replace("[platform]", "http_port = 7200\n[platform]");
 
         SettingsError error = SettingsReader.parse("a.toml", text).getLeft();
 
@@ -104,7 +104,7 @@
     @Test
     public void refusesAFileWithoutAHostName() {
         SettingsError error =
-                SettingsReader.parse("a.toml", LEAST.replace("name =", "#")).getLeft();
+                SettingsReader.parse("a.toml", MINIMAL.replace("name =", "#")).getLeft();
 
         assertEquals(error.location(), "host.name");
         assertTrue(error.problem().contains("missing"), error.message());
