--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventJsonEncoder.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventJsonEncoder.java
@@ -9,15 +9,15 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Encodes each log line as one JSON object with the event's code and named fields. */
+/** Log encoder that writes each event as one JSON object with its code and named fields. */
 final class EventJsonEncoder extends EncoderBase<ILoggingEvent> {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     @Override
     public byte[] headerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     @Override
@@ -39,7 +39,7 @@
 
     @Override
     public byte[] footerBytes() {
-        return NOTHING;
+        return EMPTY;
     }
 
     private static ObjectNode fields(Map<String, String> context) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventLevel.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventLevel.java
@@ -2,7 +2,7 @@
 
 import org.jboss.logging.Logger;
 
-/** How severe an event is. */
+/** Severity of an event. */
 public enum EventLevel {
     DEBUG(Logger.Level.DEBUG),
     INFO(Logger.Level.INFO),
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventLog.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/EventLog.java
@@ -7,21 +7,21 @@
 import org.jboss.logging.Logger;
 import org.jboss.logging.MDC;
 
-/** Writes numbered events to the log; safe for use by many threads. */
+/** Writes numbered events to the log; thread-safe. */
 public final class EventLog {
 
     /** Logger of all events. */
     static final String LOGGER = "org.cyclamenpaddle";
 
-    /** Key under which an encoder finds the code of an event. */
+    /** MDC key of the code of an event, read by encoders. */
     static final String CODE_KEY = "event.code";
 
-    /** Key prefix under which an encoder finds the fields of an event. */
+    /** MDC key prefix of the fields of an event, read by encoders. */
     static final String FIELD_PREFIX = "field.";
 
     private final Logger mLogger;
 
-    /** Creates a log over the logging system that {@link LogOutput} has set up. */
+    /** Creates a log that writes to the logging system configured by {@link LogOutput}. */
     public EventLog() {
         this(Logger.getLogger(LOGGER));
     }
@@ -33,8 +33,8 @@
     /**
      * Logs an event.
      *
-     * @param event which
-     * @param fields values of {@link LogEvent#fields()}, as many and in that order
+     * @param event the event
+     * @param fields values of {@link LogEvent#fields()}, in the same number and order
      */
     public void log(LogEvent event, Object... fields) {
         Invariants.require(
@@ -71,7 +71,10 @@
         return event.code() + " " + event.text() + fields;
     }
 
-    /** Quotes a value with blanks and drops line ends, so that no value can forge a line. */
+    /**
+     * Replaces control characters with spaces and quotes values that contain spaces, so that no
+     * value can inject a log line.
+     */
     private static String quoted(String value) {
         String line = value.replaceAll("\\p{Cntrl}", " ");
         return line.indexOf(' ') < 0 && !line.isEmpty()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * Every event that the router logs.
+ * Events that the router logs.
  *
- * <p>A number is never given to another event. 10xx is the process, 11xx membership, 12xx
- * configuration and platform, 13xx requests, 14xx backend servers, 15xx peers and bookings, 19xx
- * faults of the program. The page {@code docs/EVENTS.md} lists them with what to do.
+ * <p>Numbers are never reused. 10xx is the process, 11xx membership, 12xx configuration and
+ * platform, 13xx requests, 14xx backend servers, 15xx peers and bookings, 19xx program faults.
+ * {@code docs/EVENTS.md} lists the events with the recommended actions.
  */
 public enum LogEvent {
     STARTED(
@@ -20,7 +20,7 @@
             INFO,
             "entry host started",
             List.of("host", "incarnation", "domain", "http", "peer"),
-            "The process runs and begins to learn members and configuration.",
+            "The process runs and starts to discover members and to load the configuration.",
             "Nothing."),
     SETTINGS_REJECTED(
             1002,
@@ -41,14 +41,14 @@
             INFO,
             "planned stop begun",
             List.of("inFlight", "graceMillis"),
-            "/readyz answers 503; requests in flight go on.",
+            "/readyz answers 503; requests in flight continue.",
             "Wait. A second signal does not shorten the stop."),
     DRAINED(
             1005,
             INFO,
             "no request in flight is left",
             List.of("waitedMillis"),
-            "Every request in flight has ended with its answer.",
+            "Every request in flight has ended with its response.",
             "Nothing."),
     STOPPED(
             1006,
@@ -63,15 +63,15 @@
             INFO,
             "host is alive",
             List.of("host", "domain"),
-            "A new host was heard of, or a suspected one answered.",
+            "A new host was discovered, or a suspected one responded.",
             "Nothing."),
     HOST_SUSPECT(
             1102,
             WARN,
             "host is suspected",
             List.of("host", "silentMillis"),
-            "Its heartbeats are missing; others and a new connection are asked.",
-            "If it comes often for one host, look at its load and its network."),
+            "Its heartbeats are missing; it is probed through other hosts and by a new connection.",
+            "If it repeats for one host, look at its load and its network."),
     HOST_DEAD(
             1103,
             WARN,
@@ -91,14 +91,14 @@
             INFO,
             "ownership of backend server taken",
             List.of("backend", "from"),
-            "This host now keeps the ledger of grants of that backend server.",
-            "Nothing; if it moves to and fro, look for suspected hosts."),
+            "This host now manages the ledger of grants of that backend server.",
+            "Nothing; if it changes repeatedly, look for suspected hosts."),
     OWNERSHIP_RELEASED(
             1111,
             INFO,
             "ownership of backend server given",
             List.of("backend", "to"),
-            "Another host now keeps the ledger of grants of that backend server.",
+            "Another host now manages the ledger of grants of that backend server.",
             "Nothing."),
 
     CONFIGURATION_APPLIED(
@@ -125,17 +125,17 @@
     PLATFORM_UNREACHABLE(
             1210,
             WARN,
-            "platform away",
+            "platform unreachable",
             List.of("error"),
-            "Calls of the platform fail; the last configuration stays in force, keyed bookings and"
+            "Calls to the platform fail; the last configuration stays in force, keyed bookings and"
                     + " changes of configuration are refused.",
             "Restore the platform; see the page on operations, section platform outage."),
     PLATFORM_REACHABLE(
             1211,
             INFO,
-            "platform back",
+            "platform reachable again",
             List.of("awayMillis"),
-            "Calls of the platform succeed again.",
+            "Calls to the platform succeed again.",
             "Nothing."),
 
     REQUEST_REFUSED(
@@ -171,15 +171,16 @@
             ERROR,
             "request quarantined",
             List.of("fingerprint", "millis"),
-            "Two backend servers died under it; it is refused on every host for this time.",
-            "Give prompt and model to those who keep the engine."),
+            "Two backend servers crashed while running it; it is refused on every host for this"
+                    + " time.",
+            "Report prompt and model to the maintainers of the engine."),
 
     ORDER_SENT(
             1401,
             INFO,
             "order sent to engine",
             List.of("backend", "service", "model", "role", "fence"),
-            "The engine reports other than the preset in force asks.",
+            "The engine reports a different assignment than the preset in force.",
             "Nothing; if it repeats for one engine, the engine does not take the order."),
     ORDER_REFUSED(
             1402,
@@ -187,13 +188,13 @@
             "order refused by engine",
             List.of("backend", "reason", "fence"),
             "A newer owner gave an order, or the engine is not able to.",
-            "If it repeats, compare the fencing number with the status object of the server."),
+            "If it repeats, compare the fencing token with the status object of the server."),
     DRAIN_STARTED(
             1410,
             INFO,
             "drain of backend server started",
             List.of("backend", "inFlight"),
-            "The server gets no new work; what it has in flight goes on.",
+            "The server gets no new work; its requests in flight continue.",
             "Wait for the event that ends the drain before the server is stopped."),
     DRAIN_ENDED(
             1411,
@@ -208,15 +209,15 @@
             WARN,
             "bad frame from peer",
             List.of("peer", "error"),
-            "The connection was closed and is made anew.",
+            "The connection was closed and is opened again.",
             "Compare the versions of the two hosts; look for what else connects to the port."),
     BOOKING_UNKNOWN(
             1510,
             WARN,
             "outcome of keyed call unknown",
             List.of("request", "service", "backend", "attempt"),
-            "Bytes were sent and no answer came; the caller was told unknown.",
-            "Look the attempt up in the service's own records before it is asked anew."),
+            "Bytes were sent and no response arrived; the caller got the outcome unknown.",
+            "Look the attempt up in the service's own records before the call is sent again."),
 
     INVARIANT_VIOLATED(
             1901,
@@ -224,7 +225,7 @@
             "invariant broken; process stops",
             List.of("message"),
             "The program found its own state contradictory.",
-            "Keep the log and report it as a fault; the platform starts the process anew.");
+            "Keep the log and report it as a fault; the platform restarts the process.");
 
     private final int mNumber;
     private final EventLevel mLevel;
@@ -248,32 +249,32 @@
         mAction = action;
     }
 
-    /** Returns the code that log lines and the catalogue carry, as in {@code CP1001}. */
+    /** Returns the code used in log lines and in the catalogue, such as {@code CP1001}. */
     public String code() {
         return "CP" + mNumber;
     }
 
-    /** Returns how severe it is. */
+    /** Returns the severity. */
     public EventLevel level() {
         return mLevel;
     }
 
-    /** Returns the sentence of the log line. */
+    /** Returns the message of the log line. */
     public String text() {
         return mText;
     }
 
-    /** Returns the names of its fields, in the order in which they are logged. */
+    /** Returns the names of the fields, in the order in which they are logged. */
     public List<String> fields() {
         return mFields;
     }
 
-    /** Returns what has happened, for the catalogue. */
+    /** Returns a description of the event, for the catalogue. */
     public String meaning() {
         return mMeaning;
     }
 
-    /** Returns what an operator does about it, for the catalogue. */
+    /** Returns the recommended action for operators, for the catalogue. */
     public String action() {
         return mAction;
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogOutput.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogOutput.java
@@ -11,20 +11,20 @@
 import org.cyclamenpaddle.router.settings.RouterSettings;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the logging system of the process: one console output in the chosen form. */
+/** Configures the logging system of the process: one console appender in the selected format. */
 public final class LogOutput {
 
     private static final String HUMAN_PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level %msg%n";
 
-    /** Libraries log warnings only; the router says by its own events what happens. */
+    /** Libraries log warnings only; the router's own events report its activity. */
     private static final Level LIBRARY_LEVEL = Level.WARN;
 
     private LogOutput() {}
 
     /**
-     * Replaces whatever output there was.
+     * Replaces any existing configuration.
      *
-     * @param settings form and least level
+     * @param settings format and least severe level
      */
     public static void configure(RouterSettings.Log settings) {
         System.setProperty("org.jboss.logging.provider", "slf4j");
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/package-info.java
@@ -1,2 +1,2 @@
-/** Numbered log events, their catalogue and the two forms of log lines. */
+/** Numbered log events, their catalogue and the two formats of log lines. */
 package org.cyclamenpaddle.router.event;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/GaugeSources.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/GaugeSources.java
@@ -3,7 +3,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Readings behind the gauges; none may block.
+ * Suppliers of the values of the gauges; none may block.
  *
  * @param heldGrants decode slots granted in the ledgers that this host owns
  * @param requestsInFlight requests of callers in flight
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricKind.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricKind.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** Kinds of metric. */
+/** Kind of a metric. */
 public enum MetricKind {
-    /** Rises only; a restart sets it to 0. */
+    /** Increases only; a restart resets it to 0. */
     COUNTER,
-    /** Rises and falls. */
+    /** Increases and decreases. */
     GAUGE,
     /** Histogram with the suffixes {@code _count}, {@code _sum} and {@code _bucket}. */
     TIMER;
 
-    /** Returns the form used in the docs. */
+    /** Returns the name used in the documentation. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricName.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/MetricName.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Every metric of the router, as scraped; {@code docs/METRICS.md} lists them. */
+/** Metrics of the router by their exported names; {@code docs/METRICS.md} lists them. */
 public enum MetricName {
     REQUESTS(
             "cyclamenpaddle_requests_total",
             MetricKind.COUNTER,
             List.of("service"),
-            "Requests taken, before any decision."),
+            "Requests received, before any decision."),
     GOODPUT(
             "cyclamenpaddle_goodput_total",
             MetricKind.COUNTER,
@@ -23,12 +23,12 @@
             "cyclamenpaddle_refusals_total",
             MetricKind.COUNTER,
             List.of("reason"),
-            "Requests refused or ended without their answer, by reason."),
+            "Requests refused or ended without a complete response, by reason."),
     RETRIES(
             "cyclamenpaddle_retries_total",
             MetricKind.COUNTER,
             List.of("reason"),
-            "Tries that the router itself repeated, by reason."),
+            "Attempts that the router retried, by reason."),
     TOKENS(
             "cyclamenpaddle_tokens_relayed_total",
             MetricKind.COUNTER,
@@ -53,7 +53,7 @@
             "cyclamenpaddle_inter_token_seconds",
             MetricKind.TIMER,
             List.of("service"),
-            "Time between two tokens of one answer."),
+            "Time between two tokens of one response."),
     HELD_GRANTS(
             "cyclamenpaddle_held_grants",
             MetricKind.GAUGE,
@@ -68,7 +68,7 @@
             "cyclamenpaddle_ownership_moves_total",
             MetricKind.COUNTER,
             List.of("direction"),
-            "Ownerships of backend servers that this host took or gave."),
+            "Ownerships of backend servers that this host acquired or released."),
     CONFIGURATION_VERSION(
             "cyclamenpaddle_configuration_version",
             MetricKind.GAUGE,
@@ -88,7 +88,7 @@
             "cyclamenpaddle_bad_peer_frames_total",
             MetricKind.COUNTER,
             List.of("error"),
-            "Frames of peers that were refused, by error."),
+            "Frames from peers that were rejected, by error."),
     DROPPED_PEER_FRAMES(
             "cyclamenpaddle_dropped_peer_frames_total",
             MetricKind.COUNTER,
@@ -98,37 +98,37 @@
             "cyclamenpaddle_bookings_total",
             MetricKind.COUNTER,
             List.of("outcome"),
-            "Keyed calls of plain services, by the outcome said to the caller.");
+            "Keyed calls of plain services, by the outcome reported to the caller.");
 
     private final String mText;
     private final MetricKind mKind;
     private final List<String> mTags;
-    private final String mMeaning;
+    private final String mDescription;
 
-    MetricName(String text, MetricKind kind, List<String> tags, String meaning) {
+    MetricName(String text, MetricKind kind, List<String> tags, String description) {
         mText = text;
         mKind = kind;
         mTags = tags;
-        mMeaning = meaning;
+        mDescription = description;
     }
 
-    /** Returns the name as scraped. */
+    /** Returns the exported name. */
     public String text() {
         return mText;
     }
 
-    /** Returns what kind of metric it is. */
+    /** Returns the kind of metric. */
     public MetricKind kind() {
         return mKind;
     }
 
-    /** Returns the names of its tags. */
+    /** Returns the names of the tags. */
     public List<String> tags() {
         return mTags;
     }
 
-    /** Returns one sentence on what it counts. */
+    /** Returns a one-sentence description. */
     public String description() {
-        return mMeaning;
+        return mDescription;
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
@@ -18,7 +18,7 @@
 import org.cyclamenpaddle.core.outcome.RetryReason;
 import org.cyclamenpaddle.core.outcome.RunOutcome;
 
-/** Metrics of one entry host; safe for use by many threads. */
+/** Metrics of one entry host; thread-safe. */
 public final class RouterMetrics {
 
     private static final String IN = "in";
@@ -33,7 +33,7 @@
     private final Map<String, Counter> mOwnershipMoves;
     private final Map<String, Counter> mPeerBytes;
 
-    /** Creates the metrics, with every counter of a known reason at 0. */
+    /** Creates the metrics and registers the counter of every known reason at 0. */
     public RouterMetrics() {
         mRefusals =
                 counters(
@@ -67,7 +67,7 @@
                         direction -> direction);
     }
 
-    /** Counts a request that was taken. */
+    /** Counts a received request. */
     public void recordRequest(ServiceName service) {
         meters(service).requests().increment();
     }
@@ -75,7 +75,7 @@
     /**
      * Counts a request that was answered in full.
      *
-     * @param service its service
+     * @param service service of the request
      * @param withinTargets whether both latency targets were met
      */
     public void recordResponse(ServiceName service, boolean withinTargets) {
@@ -83,12 +83,12 @@
         meters(service).goodput().increment(withinTargets ? 1 : 0);
     }
 
-    /** Counts a request that was refused or ended without its answer. */
+    /** Counts a request that was refused or ended without a complete response. */
     public void recordRefusal(RefusalReason reason) {
         mRefusals.get(reason).increment();
     }
 
-    /** Counts a try that the router repeats. */
+    /** Counts an attempt that the router retries. */
     public void recordRetry(RetryReason reason) {
         mRetries.get(reason).increment();
     }
@@ -98,7 +98,7 @@
         meters(service).tokens().increment(tokens);
     }
 
-    /** Counts uncached prompt tokens that a prefill computed. */
+    /** Counts uncached prompt tokens computed by a prefill. */
     public void prefillComputed(ServiceName service, long tokens) {
         meters(service).prefillTokens().increment(tokens);
     }
@@ -113,33 +113,33 @@
         meters(service).firstToken().record(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Records the time between two tokens of one answer. */
+    /** Records the time between two tokens of one response. */
     public void interToken(ServiceName service, long millis) {
         meters(service).interToken().record(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Counts an ownership of a backend server that this host took. */
+    /** Counts a backend server whose ownership this host acquired. */
     public void ownershipAcquired() {
         mOwnershipMoves.get("taken").increment();
     }
 
-    /** Counts an ownership of a backend server that this host gave. */
+    /** Counts a backend server whose ownership this host released. */
     public void ownershipReleased() {
         mOwnershipMoves.get("given").increment();
     }
 
-    /** Counts bytes read from peers. */
+    /** Counts bytes received from peers. */
     public void peerBytesIn(long bytes) {
         mPeerBytes.get(IN).increment(bytes);
     }
 
-    /** Counts bytes written to peers. */
+    /** Counts bytes sent to peers. */
     public void peerBytesOut(long bytes) {
         mPeerBytes.get(OUT).increment(bytes);
     }
 
     /**
-     * Counts a frame of a peer that was refused.
+     * Counts a frame from a peer that was rejected.
      *
      * @param error name of the error, from a closed set
      */
@@ -156,15 +156,15 @@
         counter(MetricName.DROPPED_PEER_FRAMES, Tags.of("reason", reason)).increment();
     }
 
-    /** Counts a keyed call by the outcome said to its caller. */
+    /** Counts a keyed call by the outcome reported to its caller. */
     public void recordBooking(RunOutcome outcome) {
         mBookings.get(outcome).increment();
     }
 
     /**
-     * Registers what gauges read at each scrape.
+     * Registers the gauges.
      *
-     * @param sources readings, which must not block
+     * @param sources suppliers that are read at each scrape and must not block
      */
     public void registerGauges(GaugeSources sources) {
         gauge(MetricName.HELD_GRANTS, sources.heldGrants());
@@ -173,17 +173,17 @@
         gauge(MetricName.CONFIGURATION_AGE, sources.configurationAgeSeconds());
     }
 
-    /** Returns how often each reason refused a request, reasons never met included. */
+    /** Returns the number of refusals by reason, including reasons that have not occurred. */
     public Map<RefusalReason, Long> refusals() {
         return counts(mRefusals);
     }
 
-    /** Returns how often each reason made the router try again, reasons never met included. */
+    /** Returns the number of retries by reason, including reasons that have not occurred. */
     public Map<RetryReason, Long> retries() {
         return counts(mRetries);
     }
 
-    /** Returns all metrics in the text format that Prometheus reads. */
+    /** Returns all metrics in the Prometheus text format. */
     public String scrape() {
         return mRegistry.scrape();
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
@@ -8,14 +8,15 @@
 import org.cyclamenpaddle.core.id.ServiceName;
 
 /**
- * Meters of one service, looked up once and kept, as each token passes through one of them.
+ * Meters of one service. They are looked up once and cached, because every relayed token updates
+ * one of them.
  *
- * @param requests requests taken
+ * @param requests requests received
  * @param answered requests answered in full
- * @param goodput of those, the ones within both targets
+ * @param goodput requests answered in full within both latency targets
  * @param tokens tokens relayed
  * @param prefillTokens uncached prompt tokens computed
- * @param wastedPrefillTokens of those, the ones never used
+ * @param wastedPrefillTokens uncached prompt tokens computed and never used
  * @param firstToken time to first token
  * @param interToken time between tokens
  */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/package-info.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics of an entry host and their text for scraping. */
+/** Metrics of an entry host and their export in the Prometheus text format. */
 package org.cyclamenpaddle.router.metric;
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
@@ -21,7 +21,7 @@
 public class EventLogTest {
 
     @Test
-    public void writesOneLineForPeople() {
+    public void writesOneHumanReadableLine() {
         String output =
                 outputOf(LogFormat.HUMAN, log -> log.log(LogEvent.HOST_SUSPECT, "entry-1", 2_100));
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void writesOneJsonObjectALine() throws IOException {
+    public void writesOneJsonObjectPerLine() throws IOException {
         String output =
                 outputOf(
                         LogFormat.JSON,
@@ -43,10 +43,11 @@
         assertEquals(line.path("fields").path("version").asText(), "17");
     }
 
-    // An operator reading the log sees a line that no event wrote, because a caller put a line end
-    // into a value that the router logs. Values are quoted and lose their control characters.
+    // Guards against log injection: a caller puts a line end into a value that the router logs, and
+    // the log shows a line that no event wrote. Values are quoted and lose their control
+    // characters.
     @Test
-    public void aValueCannotForgeALine() {
+    public void fieldValuesCannotInjectLogLines() {
         String output =
                 outputOf(
                         LogFormat.HUMAN,
@@ -60,7 +61,7 @@
     }
 
     @Test
-    public void leavesOutWhatIsBelowTheLevel() {
+    public void dropsEventsBelowTheConfiguredLevel() {
         String output =
                 outputOf(
                         LogFormat.HUMAN,
@@ -75,7 +76,7 @@
     }
 
     @Test
-    public void everyEventTakesJustItsFields() {
+    public void rejectsAWrongNumberOfFields() {
         Assert.assertThrows(
                 BrokenInvariantException.class, () -> new EventLog().log(LogEvent.READY, "one"));
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/metric/RouterMetricsTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/metric/RouterMetricsTest.java
@@ -17,7 +17,7 @@
     private static final ServiceName SERVICE = new ServiceName("malt-reader");
 
     @Test
-    public void everyReasonIsScrapedBeforeItIsMet() {
+    public void everyReasonIsScrapedFromTheStart() {
         String scraped = new RouterMetrics().scrape();
 
         for (RefusalReason reason : RefusalReason.values()) {
@@ -36,7 +36,7 @@
 
     @Test
     public void everyNameOfTheCatalogueIsScrapedWithItsTags() {
-        RouterMetrics metrics = used();
+        RouterMetrics metrics = populatedMetrics();
         List<String> lines = metrics.scrape().lines().toList();
 
         for (MetricName name : MetricName.values()) {
@@ -55,7 +55,8 @@
     @Test
     public void scrapesNothingOutsideTheCatalogue() {
         List<String> types =
-                used().scrape()
+                populatedMetrics()
+                        .scrape()
                         .lines()
                         .filter(line -> line.startsWith("# TYPE "))
                         .map(line -> line.split(" ")[2])
@@ -68,7 +69,7 @@
     }
 
     @Test
-    public void lateAnswersAreNoGoodput() {
+    public void lateResponsesAreNotGoodput() {
         RouterMetrics metrics = new RouterMetrics();
 
         metrics.recordResponse(SERVICE, true);
@@ -92,7 +93,7 @@
         assertEquals(metrics.retries().get(RetryReason.ENGINE_FULL), Long.valueOf(1));
     }
 
-    private static RouterMetrics used() {
+    private static RouterMetrics populatedMetrics() {
         RouterMetrics metrics = new RouterMetrics();
         metrics.recordRequest(SERVICE);
         metrics.recordResponse(SERVICE, true);
