--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/capacity/CapacityMeasurement.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/capacity/CapacityMeasurement.java
@@ -26,10 +26,11 @@
 import org.cyclamenpaddle.peer.codec.FrameCodec;
 
 /**
- * Measures what control costs one host as the fleet grows; docs/CAPACITY.md has the figures.
+ * Measures the cost of membership and ownership per host as the fleet grows; the documented
+ * capacity figures come from it.
  *
- * <p>The product's own membership and frames run on a virtual clock, all hosts in this process, so
- * processor time is that of the state machines alone, without sockets.
+ * <p>The product's membership code and frame codec run on a virtual clock with all hosts in this
+ * process, so the processor time is that of the state machines alone, without sockets.
  */
 public final class CapacityMeasurement {
 
@@ -97,7 +98,7 @@
                 HostState.ALIVE);
     }
 
-    /** One fleet under virtual time. */
+    /** Simulation of one fleet in virtual time. */
     private static final class Run {
 
         private final List<Membership> mHosts = new ArrayList<>();
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/ArchitecturePageTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/ArchitecturePageTest.java
@@ -43,7 +43,7 @@
                         .map(table -> DocPage.code(table.name()))
                         .collect(Collectors.joining(", "));
 
-        new DocPage("ARCHITECTURE.md").assertHoldsInText(order);
+        new DocPage("ARCHITECTURE.md").assertContainsIgnoringLineBreaks(order);
     }
 
     @Test
@@ -59,7 +59,7 @@
         }
 
         assertTrue(packages.size() > 1, packages.toString());
-        packages.forEach(page::assertNames);
+        packages.forEach(page::assertNamesAsCode);
     }
 
     @Test
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/CataloguePagesTest.java
@@ -14,7 +14,7 @@
 import org.cyclamenpaddle.router.settings.SettingKey;
 import org.testng.annotations.Test;
 
-/** Holds the pages on settings, events and metrics against the enums that drive the program. */
+/** Compares the pages on settings, events and metrics with the enums that drive the program. */
 public class CataloguePagesTest {
 
     @Test
@@ -24,7 +24,9 @@
         Arrays.stream(SettingKey.values())
                 .map(SettingKey::section)
                 .distinct()
-                .forEach(section -> page.assertHolds("## [" + section + "]\n\n" + table(section)));
+                .forEach(
+                        section ->
+                                page.assertContains("## [" + section + "]\n\n" + table(section)));
         assertEquals(page.codeCells().size(), SettingKey.values().length);
     }
 
@@ -32,7 +34,7 @@
     public void eventsPageListsEveryEvent() {
         DocPage page = new DocPage("EVENTS.md");
 
-        page.assertHolds(
+        page.assertContains(
                 DocPage.table(
                         List.of("Code", "Level", "Event", "Fields", "Meaning", "What to do"),
                         Arrays.stream(LogEvent.values()).map(CataloguePagesTest::row)));
@@ -43,15 +45,15 @@
     public void metricsPageListsEveryMetricAndReason() {
         DocPage page = new DocPage("METRICS.md");
 
-        page.assertHolds(
+        page.assertContains(
                 DocPage.table(
                         List.of("Name", "Kind", "Tags", "Meaning"),
                         Arrays.stream(MetricName.values()).map(CataloguePagesTest::row)));
-        page.assertHolds(
+        page.assertContains(
                 DocPage.table(
                         List.of("Reason", "Status", "Outcome", "Retry-After", "Meaning"),
                         Arrays.stream(RefusalReason.values()).map(CataloguePagesTest::row)));
-        Stream.of(RetryReason.values()).map(RetryReason::code).forEach(page::assertNames);
+        Stream.of(RetryReason.values()).map(RetryReason::code).forEach(page::assertNamesAsCode);
         assertEquals(
                 page.codeCells().size(),
                 MetricName.values().length
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/DocPage.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/page/DocPage.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A page of the docs, to be held against the code. */
+/** A documentation page to be compared with the code. */
 final class DocPage {
 
     private static final Path DOCS = Path.of("..", "docs");
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns a table in Markdown; no cell may hold a bar. */
+    /** Returns a Markdown table; cells must not contain a vertical bar. */
     static String table(List<String> headers, Stream<List<String>> rows) {
         String rule = headers.stream().map(h -> "---").collect(Collectors.joining(" | "));
         return Stream.concat(Stream.of(row(headers), "| " + rule + " |"), rows.map(DocPage::row))
@@ -39,25 +39,28 @@
         return "`" + text + "`";
     }
 
-    /** Fails with what to write into the page, if the page does not hold {@code part}. */
-    void assertHolds(String part) {
+    /** Fails with the expected content if the page does not contain {@code part}. */
+    void assertContains(String part) {
         if (!mText.contains(part + "\n")) {
-            fail("docs/" + mName + " must hold this and no other table of it:\n" + part);
+            fail("docs/" + mName + " must contain this table and no other version of it:\n" + part);
         }
     }
 
-    /** Fails if the page does not hold {@code words}, wherever its lines break. */
-    void assertHoldsInText(String words) {
+    /** Fails if the page does not contain {@code words}, ignoring line breaks. */
+    void assertContainsIgnoringLineBreaks(String words) {
         String text = mText.replaceAll("\\s+", " ");
-        assertTrue(text.contains(words), "docs/" + mName + " does not hold: " + words);
+        assertTrue(text.contains(words), "docs/" + mName + " does not contain: " + words);
     }
 
-    /** Fails if the page does not name {@code word} as code. */
-    void assertNames(String word) {
+    /** Fails if the page does not contain {@code word} as inline code. */
+    void assertNamesAsCode(String word) {
         assertTrue(mText.contains(code(word)), "docs/" + mName + " does not name " + word);
     }
 
-    /** Returns the first cells of all rows that hold code, as in {@code | `cell` | ...}. */
+    /**
+     * Returns the first cells of all table rows that start with inline code, as in {@code | `cell`
+     * | ...}.
+     */
     List<String> codeCells() {
         return mText.lines()
                 .filter(line -> line.startsWith("| `"))
