--- a/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/ExampleObjectsTest.java
+++ b/cyclamenpaddle-ctl/src/test/java/org/cyclamenpaddle/ctl/command/ExampleObjectsTest.java
@@ -35,7 +35,7 @@
         ParsedConfiguration parsed = mCodec.parse(objects);
 
         ConfigurationView view = parsed.view();
-        assertEquals(parsed.refused().toString(), "{}");
+        assertEquals(parsed.rejected().toString(), "{}");
         assertEquals(view.backends().size(), backends);
         assertEquals(view.services().size(), 2);
         for (String name : List.of("ordinary", "peak", "maintenance")) {
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
@@ -69,8 +69,8 @@
      *
      * @param backend the backend server; reads have no timeout unless they set one
      */
-    public WebClient keptClient(BackendSpec backend) {
-        return keptClient(backend.address(), backend.port());
+    public WebClient keepAliveClient(BackendSpec backend) {
+        return keepAliveClient(backend.address(), backend.port());
     }
 
     /**
@@ -79,7 +79,7 @@
      * @param address IP number of the backend server; calls have no timeout unless they set one
      * @param port its TCP port
      */
-    public WebClient keptClient(String address, int port) {
+    public WebClient keepAliveClient(String address, int port) {
         return client(address, port, mKept);
     }
 
@@ -91,7 +91,7 @@
      * @param kept whether it keeps connections
      */
     public WebClient client(String address, int port, boolean kept) {
-        return kept ? keptClient(address, port) : client(address, port);
+        return kept ? keepAliveClient(address, port) : client(address, port);
     }
 
     @Override
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
@@ -42,7 +42,7 @@
     public HttpEngineClient(
             BackendConnections connections, BackendSpec engine, long timeoutMillis) {
         mClient = connections.client(engine);
-        mKeptClient = connections.keptClient(engine);
+        mKeptClient = connections.keepAliveClient(engine);
         mTimeoutMillis = timeoutMillis;
     }
 
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainResult.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainResult.java
@@ -10,7 +10,7 @@
      * @param contentType media type of the body; empty if none was named
      * @param body the body
      */
-    record Answered(int status, String contentType, byte[] body) implements PlainResult {}
+    record Response(int status, String contentType, byte[] body) implements PlainResult {}
 
     /**
      * Provably no byte of the call left, so it did not run.
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainServiceClient.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/plain/PlainServiceClient.java
@@ -75,7 +75,7 @@
     }
 
     private static PlainResult answered(AggregatedHttpResponse response) {
-        return new PlainResult.Answered(
+        return new PlainResult.Response(
                 response.status().code(),
                 response.headers().get(HttpHeaderNames.CONTENT_TYPE, ""),
                 response.content().array());
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
@@ -46,8 +46,8 @@
                             heads.add(RawServer.readHeaders(socket));
                             RawServer.write(socket, OK_ANSWER);
                         })) {
-            PlainResult.Answered answer =
-                    (PlainResult.Answered) call(server.spec(), LONG_TIMEOUT_MILLIS);
+            PlainResult.Response answer =
+                    (PlainResult.Response) call(server.spec(), LONG_TIMEOUT_MILLIS);
             assertEquals(answer.status(), 200);
             assertEquals(answer.contentType(), "text/plain");
             assertEquals(new String(answer.body(), StandardCharsets.UTF_8), "booked");
@@ -81,7 +81,7 @@
                 }
             }
             for (CompletableFuture<PlainResult> result : results) {
-                assertTrue(result.join() instanceof PlainResult.Answered, result.toString());
+                assertTrue(result.join() instanceof PlainResult.Response, result.toString());
             }
             assertEquals(server.connections(), CALLS);
             closed.await();
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/FrameDecoder.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/FrameDecoder.java
@@ -53,7 +53,7 @@
 
     private Frame frame(ChannelHandlerContext context, ByteBuf bytes) {
         try {
-            mCounters.frameIn(bytes.readableBytes() + LENGTH_BYTES);
+            mCounters.frameReceived(bytes.readableBytes() + LENGTH_BYTES);
             Either<FrameError, Frame> frame = mCodec.decode(ByteBufUtil.getBytes(bytes));
             frame.peekLeft(error -> refuse(context, error));
             return frame.getOrNull();
@@ -64,7 +64,7 @@
 
     private void refuse(ChannelHandlerContext context, FrameError error) {
         mRefused = true;
-        mCounters.refused(error);
+        mCounters.frameRejected(error);
         context.close();
     }
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/IncomingConnection.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/IncomingConnection.java
@@ -37,7 +37,7 @@
             mWire.writeNow(
                     context.channel(), new Frame(frame.correlation(), new Hello(mSelf.get())));
         } else if (mFrom.isEmpty()) {
-            mWire.counters().refused(FrameError.BAD_HELLO);
+            mWire.counters().frameRejected(FrameError.BAD_HELLO);
             context.close();
         } else {
             hear(context, mFrom.get(), frame);
@@ -78,7 +78,7 @@
         if (context.channel().isWritable()) {
             mWire.writeNow(context.channel(), new Frame(ask.correlation(), message));
         } else {
-            mWire.counters().dropped(PeerCounters.DropReason.ASKER_STALLED);
+            mWire.counters().frameDropped(PeerCounters.DropReason.ASKER_STALLED);
         }
     }
 
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingLink.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingLink.java
@@ -126,7 +126,7 @@
     }
 
     void replaceSilent() {
-        mWire.counters().replacedSilent();
+        mWire.counters().silentConnectionReplaced();
         close();
     }
 
@@ -154,7 +154,7 @@
         // Failure: a host was replaced and its address given to another, which would take messages
         // that are not meant for it. Nothing is written before its Hello is seen.
         if (!hello.sender().incarnation().host().equals(mTarget.incarnation().host())) {
-            mWire.counters().refused(FrameError.BAD_HELLO);
+            mWire.counters().frameRejected(FrameError.BAD_HELLO);
             context.close();
         } else if (!mReady) {
             mReady = true;
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
@@ -131,14 +131,14 @@
     private Optional<PeerError> enqueue(long correlation, PeerMessage message) {
         Either<FrameError, byte[]> bytes = mWire.codec().encode(new Frame(correlation, message));
         if (bytes.isLeft()) {
-            mWire.counters().dropped(PeerCounters.DropReason.TOO_LONG);
+            mWire.counters().frameDropped(PeerCounters.DropReason.TOO_LONG);
             return Optional.of(PeerError.TOO_LONG);
         }
         OutgoingQueue.Entry entry =
                 new OutgoingQueue.Entry(
                         correlation, message instanceof Heartbeat, mClock.millis(), bytes.get());
         List<OutgoingQueue.Entry> dropped = mQueue.offer(entry);
-        dropped.forEach(one -> mWire.counters().dropped(PeerCounters.DropReason.QUEUE_FULL));
+        dropped.forEach(one -> mWire.counters().frameDropped(PeerCounters.DropReason.QUEUE_FULL));
         planDrain();
         return dropped.contains(entry) ? Optional.of(PeerError.QUEUE_FULL) : Optional.empty();
     }
@@ -203,7 +203,7 @@
     private void expire() {
         int expired = mQueue.removeBefore(mClock.millis() - mSettings.maxQueuedMillis());
         for (int i = 0; i < expired; i++) {
-            mWire.counters().dropped(PeerCounters.DropReason.EXPIRED);
+            mWire.counters().frameDropped(PeerCounters.DropReason.EXPIRED);
         }
     }
 
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerCounters.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerCounters.java
@@ -9,19 +9,19 @@
     PeerCounters NONE =
             new PeerCounters() {
                 @Override
-                public void frameIn(int bytes) {}
+                public void frameReceived(int bytes) {}
 
                 @Override
-                public void frameOut(int bytes) {}
+                public void frameSent(int bytes) {}
 
                 @Override
-                public void refused(FrameError error) {}
+                public void frameRejected(FrameError error) {}
 
                 @Override
-                public void dropped(DropReason reason) {}
+                public void frameDropped(DropReason reason) {}
 
                 @Override
-                public void replacedSilent() {}
+                public void silentConnectionReplaced() {}
             };
 
     /** Why an outgoing frame was dropped. */
@@ -37,17 +37,17 @@
     }
 
     /** A frame came in, of {@code bytes} with its length prefix. */
-    void frameIn(int bytes);
+    void frameReceived(int bytes);
 
     /** A frame went out, of {@code bytes} with its length prefix. */
-    void frameOut(int bytes);
+    void frameSent(int bytes);
 
     /** A frame was refused, and its connection closed. */
-    void refused(FrameError error);
+    void frameRejected(FrameError error);
 
     /** An outgoing frame was dropped. */
-    void dropped(DropReason reason);
+    void frameDropped(DropReason reason);
 
     /** A connection on which nothing came any more was closed, to be replaced. */
-    void replacedSilent();
+    void silentConnectionReplaced();
 }
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerNetwork.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/PeerNetwork.java
@@ -123,7 +123,7 @@
      * @param timeoutMillis longest wait, in milliseconds
      * @return completes with the answer or the error; never exceptionally
      */
-    public CompletableFuture<Either<PeerError, PeerMessage>> ask(
+    public CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis) {
         if (mClosed) {
             return CompletableFuture.completedFuture(Either.left(PeerError.CLOSED));
@@ -139,7 +139,7 @@
      * @return completes with whether it answered; never exceptionally
      */
     public CompletableFuture<Boolean> probe(HostRecord target, long timeoutMillis) {
-        return hello(target.address(), target.peerPort(), timeoutMillis)
+        return handshake(target.address(), target.peerPort(), timeoutMillis)
                 .thenApply(
                         sender ->
                                 sender.map(HostRecord::incarnation)
@@ -155,7 +155,7 @@
      * @param timeoutMillis longest wait, in milliseconds
      * @return completes with the host that answered, or empty; never exceptionally
      */
-    public CompletableFuture<Optional<HostRecord>> hello(
+    public CompletableFuture<Optional<HostRecord>> handshake(
             String address, int port, long timeoutMillis) {
         if (mClosed) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -175,7 +175,7 @@
     }
 
     /** Forgets a host that is gone for good: drops its queue and connection. */
-    public void forget(HostId host) {
+    public void removeHost(HostId host) {
         Optional.ofNullable(mPeers.remove(host)).ifPresent(OutgoingPeer::close);
     }
 
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Wire.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Wire.java
@@ -33,7 +33,7 @@
     void write(Channel channel, byte[] bytes) {
         byte[] length = ByteBuffer.allocate(FrameDecoder.LENGTH_BYTES).putInt(bytes.length).array();
         ByteBuf frame = Unpooled.wrappedBuffer(length, bytes);
-        mCounters.frameOut(frame.readableBytes());
+        mCounters.frameSent(frame.readableBytes());
         channel.write(frame, channel.voidPromise());
     }
 
@@ -45,6 +45,6 @@
                             write(channel, bytes);
                             channel.flush();
                         })
-                .peekLeft(tooLong -> mCounters.dropped(PeerCounters.DropReason.TOO_LONG));
+                .peekLeft(tooLong -> mCounters.frameDropped(PeerCounters.DropReason.TOO_LONG));
     }
 }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/ConnectionFaultsTest.java
@@ -48,15 +48,15 @@
                 SilencingRelay relay = new SilencingRelay(b.host().peerPort())) {
             HostRecord target = host("b", relay.port());
             assertEquals(
-                    a.network().ask(target, claimAsk("key"), PATIENCE_MILLIS).get(),
+                    a.network().request(target, claimAsk("key"), PATIENCE_MILLIS).get(),
                     Either.right(ran("yes")));
             relay.silence();
             assertEquals(
-                    a.network().ask(target, claimAsk("key"), SHORT_MILLIS).get().getLeft(),
+                    a.network().request(target, claimAsk("key"), SHORT_MILLIS).get().getLeft(),
                     PeerError.TIMED_OUT);
             assertEquals(counters.next(), "replaced");
             assertEquals(
-                    a.network().ask(target, claimAsk("key"), PATIENCE_MILLIS).get(),
+                    a.network().request(target, claimAsk("key"), PATIENCE_MILLIS).get(),
                     Either.right(ran("yes")));
         }
     }
@@ -105,16 +105,16 @@
         try (Node a = node("a", SILENT, TestHosts.NO_SIGNS, clock, PeerCounters.NONE);
                 Node b = node("b", listener)) {
             CompletableFuture<Either<PeerError, PeerMessage>> late =
-                    a.network().ask(b.host(), claimAsk("late"), SHORT_MILLIS);
+                    a.network().request(b.host(), claimAsk("late"), SHORT_MILLIS);
             asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             clock.advance(1);
             assertEquals(
-                    a.network().ask(b.host(), claimAsk("quick"), PATIENCE_MILLIS).get(),
+                    a.network().request(b.host(), claimAsk("quick"), PATIENCE_MILLIS).get(),
                     Either.right(ran("quick")));
             assertEquals(late.get().getLeft(), PeerError.TIMED_OUT);
             asked.clear();
             CompletableFuture<Either<PeerError, PeerMessage>> second =
-                    a.network().ask(b.host(), claimAsk("second"), PATIENCE_MILLIS);
+                    a.network().request(b.host(), claimAsk("second"), PATIENCE_MILLIS);
             asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             answers.get("late").complete(Optional.of(ran("late")));
             answers.get("second").complete(Optional.of(ran("second")));
@@ -140,10 +140,10 @@
                                 PeerCounters.NONE);
                 Node b = node("b", hangingUp)) {
             assertEquals(
-                    a.network().ask(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network().request(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
                     PeerError.CONNECTION_LOST);
             assertEquals(
-                    a.network().ask(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network().request(b.host(), claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
                     PeerError.UNREACHABLE);
         }
     }
@@ -177,7 +177,7 @@
                 Node b = node("b", hearing(heard))) {
             HostRecord replaced = host("c", b.host().peerPort());
             assertEquals(
-                    a.network().ask(replaced, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network().request(replaced, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
                     PeerError.UNREACHABLE);
             assertEquals(counters.next(), "refused BAD_HELLO");
             assertTrue(heard.isEmpty());
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/CountingPeers.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/CountingPeers.java
@@ -13,23 +13,23 @@
     private final BlockingQueue<String> mCounted = new LinkedBlockingQueue<>();
 
     @Override
-    public void frameIn(int bytes) {}
+    public void frameReceived(int bytes) {}
 
     @Override
-    public void frameOut(int bytes) {}
+    public void frameSent(int bytes) {}
 
     @Override
-    public void refused(FrameError error) {
+    public void frameRejected(FrameError error) {
         mCounted.add("refused " + error);
     }
 
     @Override
-    public void dropped(DropReason reason) {
+    public void frameDropped(DropReason reason) {
         mCounted.add("dropped " + reason);
     }
 
     @Override
-    public void replacedSilent() {
+    public void silentConnectionReplaced() {
         mCounted.add("replaced");
     }
 
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/PeerNetworkTest.java
@@ -68,7 +68,7 @@
                 Node b = node("b", listener)) {
             List<CompletableFuture<Either<PeerError, PeerMessage>>> answers = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                answers.add(a.network().ask(b.host(), claimAsk("key-" + i), PATIENCE_MILLIS));
+                answers.add(a.network().request(b.host(), claimAsk("key-" + i), PATIENCE_MILLIS));
                 assertEquals(asked.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "key-" + i);
             }
             for (int i = 2; i >= 0; i--) {
@@ -96,7 +96,7 @@
         try (Node a = node("a", SILENT)) {
             HostRecord gone = host("b", unboundPort());
             assertEquals(
-                    a.network().ask(gone, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                    a.network().request(gone, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
                     PeerError.UNREACHABLE);
         }
     }
@@ -108,7 +108,7 @@
         HostRecord other = host("b", 1);
         a.network().send(other, claimAsk("key"));
         assertEquals(
-                a.network().ask(other, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
+                a.network().request(other, claimAsk("key"), PATIENCE_MILLIS).get().getLeft(),
                 PeerError.CLOSED);
         assertFalse(a.network().probe(other, PATIENCE_MILLIS).get());
     }
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/WrongFramesTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/net/WrongFramesTest.java
@@ -121,7 +121,7 @@
 
     private void assertAnswered() throws Exception {
         Either<PeerError, PeerMessage> answer =
-                mAsker.network().ask(mTarget.host(), claimAsk("key"), PATIENCE_MILLIS).get();
+                mAsker.network().request(mTarget.host(), claimAsk("key"), PATIENCE_MILLIS).get();
         assertEquals(answer, Either.right(ran("yes")));
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -82,7 +82,7 @@
 
     private void call(Backend engine, Runnable done) {
         mRelay.connections()
-                .keptClient(engine.address(), engine.port())
+                .keepAliveClient(engine.address(), engine.port())
                 .execute(
                         HttpRequest.of(mRelay.engineMessages().report(engine)),
                         RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReserveCall.java
@@ -103,7 +103,7 @@
     /** Makes a call whose failure harms nothing, since what it frees lapses by itself. */
     static void quietly(RelayContext relay, Backend backend, RequestHeaders call) {
         relay.connections()
-                .keptClient(backend.address(), backend.port())
+                .keepAliveClient(backend.address(), backend.port())
                 .execute(
                         HttpRequest.of(call),
                         RequestOptions.builder().responseTimeoutMillis(CALL_MILLIS).build())
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/SharedRetryBudget.java
@@ -57,7 +57,7 @@
 
     /** Counts a caller's request. */
     public void recordRequest(ServiceName service) {
-        mBudget.write(budget -> budget.freshRequest(service, mClock.millis()));
+        mBudget.write(budget -> budget.recordRequest(service, mClock.millis()));
     }
 
     /** Takes one repeat and returns whether there was one. */
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -224,7 +224,7 @@
             // The previous connection to the host backs off for up to two seconds. Grant requests
             // to the ledgers that the host now owns would fail during that time, and requests be
             // refused.
-            mNetwork.forget(host.incarnation().host());
+            mNetwork.removeHost(host.incarnation().host());
         }
         mWorkers.execute(
                 () -> {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/BackendFailureReporter.java
@@ -48,7 +48,7 @@
         List<StrikeNotice> notices =
                 mBlackboard
                         .quarantine()
-                        .read(table -> table.onBackendDied(backend, List.of(fingerprint), now));
+                        .read(table -> table.onBackendCrashed(backend, List.of(fingerprint), now));
         notices.forEach(this::tell);
         notices.forEach(notice -> logged(notice, backend));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/PrefixMonitor.java
@@ -96,7 +96,7 @@
         synchronized (mIndex) {
             // A sequence that went back is a new life of the engine, with an empty cache.
             if (last != null && events.lastSequence() < last) {
-                mIndex.forget(engine);
+                mIndex.remove(engine);
             }
             mIndex.apply(engine, typed(events), events.lastSequence());
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -145,7 +145,7 @@
             return;
         }
         take(new BookingEvent.FirstByteWritten());
-        if (result instanceof PlainResult.Answered answered) {
+        if (result instanceof PlainResult.Response answered) {
             record(DecisionStep.CALL_SENT, backend.id() + ": status " + answered.status());
             take(
                     new BookingEvent.ResponseComplete(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -77,9 +77,9 @@
             byte[] body) {}
 
     /** Makes a call; the future never fails. */
-    public CompletableFuture<Either<Refusal, PlainResult.Answered>> start(RepeatableCall call) {
+    public CompletableFuture<Either<Refusal, PlainResult.Response>> start(RepeatableCall call) {
         synchronized (mBudget) {
-            mBudget.freshRequest(call.service().name(), mClock.millis());
+            mBudget.recordRequest(call.service().name(), mClock.millis());
         }
         mOpen.incrementAndGet();
         return attempt(call, mClock.millis() + call.call().timeoutMillis(), new HashSet<>())
@@ -91,7 +91,7 @@
         return mOpen.get();
     }
 
-    private CompletableFuture<Either<Refusal, PlainResult.Answered>> attempt(
+    private CompletableFuture<Either<Refusal, PlainResult.Response>> attempt(
             RepeatableCall call, long deadline, Set<BackendId> tried) {
         long left = deadline - mClock.millis();
         Optional<BackendSpec> chosen = mChoice.select(call.service().name(), tried);
@@ -118,14 +118,14 @@
                 timeoutMillis);
     }
 
-    private CompletableFuture<Either<Refusal, PlainResult.Answered>> settle(
+    private CompletableFuture<Either<Refusal, PlainResult.Response>> settle(
             RepeatableCall call,
             long deadline,
             Set<BackendId> tried,
             BackendSpec backend,
             PlainResult result) {
         mChoice.inFlight(backend.id(), -1);
-        if (result instanceof PlainResult.Answered answered) {
+        if (result instanceof PlainResult.Response answered) {
             return CompletableFuture.completedFuture(Either.right(answered));
         }
         if (result instanceof PlainResult.NothingSent) {
@@ -144,7 +144,7 @@
         }
     }
 
-    private static CompletableFuture<Either<Refusal, PlainResult.Answered>> refused(
+    private static CompletableFuture<Either<Refusal, PlainResult.Response>> refused(
             RefusalReason reason) {
         return CompletableFuture.completedFuture(Either.left(Refusal.of(reason, "")));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
@@ -263,16 +263,16 @@
         if (answer.get() instanceof ChangeResult.Accepted accepted) {
             return Either.right(accepted.version());
         }
-        ChangeResult.Lost lost = (ChangeResult.Lost) answer.get();
+        ChangeResult.Conflict lost = (ChangeResult.Conflict) answer.get();
         return Either.left(
                 new ChangeRefusal(
                         Refusal.of(
                                 RefusalReason.CONFLICT,
                                 key.path()
-                                        + lost.winner()
+                                        + lost.current()
                                                 .map(w -> " is at version " + w.version() + ".")
                                                 .orElse(" does not exist.")),
-                        lost.winner().flatMap(winner -> stored(key, winner))));
+                        lost.current().flatMap(winner -> stored(key, winner))));
     }
 
     private CompletableFuture<Optional<Refusal>> checked(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/NetworkTransport.java
@@ -31,7 +31,7 @@
     @Override
     public CompletableFuture<Either<PeerError, PeerMessage>> request(
             HostRecord to, PeerMessage message, long timeoutMillis) {
-        return mNetwork.get().ask(to, message, timeoutMillis);
+        return mNetwork.get().request(to, message, timeoutMillis);
     }
 
     @Override
@@ -42,6 +42,6 @@
     @Override
     public CompletableFuture<Optional<HostRecord>> hello(
             String address, int port, long timeoutMillis) {
-        return mNetwork.get().hello(address, port, timeoutMillis);
+        return mNetwork.get().handshake(address, port, timeoutMillis);
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/peering/PeerMetrics.java
@@ -24,28 +24,28 @@
     }
 
     @Override
-    public void frameIn(int bytes) {
+    public void frameReceived(int bytes) {
         mMetrics.peerBytesIn(bytes);
     }
 
     @Override
-    public void frameOut(int bytes) {
+    public void frameSent(int bytes) {
         mMetrics.peerBytesOut(bytes);
     }
 
     @Override
-    public void refused(FrameError error) {
+    public void frameRejected(FrameError error) {
         mMetrics.badPeerFrame(error.name());
         mLog.log(LogEvent.BAD_PEER_FRAME, "unknown", error);
     }
 
     @Override
-    public void dropped(DropReason reason) {
+    public void frameDropped(DropReason reason) {
         mMetrics.peerFrameDropped(reason.name());
     }
 
     @Override
-    public void replacedSilent() {
+    public void silentConnectionReplaced() {
         mMetrics.peerFrameDropped("SILENT_CONNECTION");
     }
 }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/HostEnvironment.java
@@ -107,7 +107,7 @@
             return overLimit;
         }
         synchronized (mRetries) {
-            mRetries.freshRequest(shape.service(), now);
+            mRetries.recordRequest(shape.service(), now);
         }
         mTurns.incrementAndGet();
         if (!usesGrants()) {
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public void backendDied(RequestShape shape, BackendId backend, long now) {
+    public void backendCrashed(RequestShape shape, BackendId backend, long now) {
         mLosses.onCrash(backend, shape.fingerprint(), now);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -90,7 +90,7 @@
                 .thenAccept(
                         answer -> {
                             mJournal.granted(answer);
-                            feed(now -> mMachine.onGrantAnswer(answer, now));
+                            feed(now -> mMachine.onGrantResponse(answer, now));
                         });
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerDisconnectTest.java
@@ -10,14 +10,14 @@
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** No engine memory stays held for a caller who has gone. */
-public class CallerGoneTest {
+public class CallerDisconnectTest {
 
     private static final int LONG_ANSWER = 4_000;
     private static final String PROMPT = "Lot quality sheet, moisture 11.8, protein 10.4. ";
@@ -84,7 +84,7 @@
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     private void leaveWhileStreaming() throws IOException {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/TokenIntervalModel.java
@@ -84,7 +84,7 @@
     }
 
     /** Forgets an engine, such as one that has another model. */
-    public void forget(BackendId backend) {
+    public void remove(BackendId backend) {
         mFits.remove(backend);
     }
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixIndex.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/placement/PrefixIndex.java
@@ -76,7 +76,7 @@
     }
 
     /** Forgets an engine, such as one that was restarted or has another model. */
-    public void forget(BackendId backend) {
+    public void remove(BackendId backend) {
         mCaches.remove(backend);
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -90,7 +90,7 @@
      * @param nowMillis reading of the clock
      * @return what peers must be told
      */
-    public List<StrikeNotice> onBackendDied(
+    public List<StrikeNotice> onBackendCrashed(
             BackendId backend, Collection<Long> fingerprints, long nowMillis) {
         forgetExpired(nowMillis);
         Set<Long> distinct = new HashSet<>(fingerprints);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestEnvironment.java
@@ -85,5 +85,5 @@
      * <p>The request's strike is given before this returns, so that the next ranking already sees
      * it.
      */
-    void backendDied(RequestShape shape, BackendId backend, long now);
+    void backendCrashed(RequestShape shape, BackendId backend, long now);
 }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -85,7 +85,7 @@
     }
 
     /** Takes an owner's answer. */
-    public List<RequestEffect> onGrantAnswer(GrantResponse answer, long now) {
+    public List<RequestEffect> onGrantResponse(GrantResponse answer, long now) {
         boolean granted = answer.decision() == GrantDecision.GRANTED;
         if (!isAsked(answer.attempt())) {
             if (granted && !isHeld(answer.attempt())) {
@@ -426,7 +426,7 @@
             mEnvironment.backendUnreachable(placed.backend(), now);
         }
         if (died) {
-            mEnvironment.backendDied(mShape, placed.backend(), now);
+            mEnvironment.backendCrashed(mShape, placed.backend(), now);
         }
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/retry/RetryBudget.java
@@ -69,7 +69,7 @@
      * @param service its service
      * @param nowMillis reading of the clock
      */
-    public void freshRequest(ServiceName service, long nowMillis) {
+    public void recordRequest(ServiceName service, long nowMillis) {
         earn(service, mSettings.share(), nowMillis);
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
@@ -54,7 +54,7 @@
             if (fingerprint == CULPRIT) {
                 crashes++;
                 Set<Long> victims = quarantine.runningOn(server);
-                told.addAll(quarantine.onBackendDied(server, victims, 0));
+                told.addAll(quarantine.onBackendCrashed(server, victims, 0));
                 running.removeIf(run -> ends(quarantine, run, run.server().equals(server)));
             }
             running.removeIf(run -> ends(quarantine, run, random.nextInt(30) == 0));
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineTest.java
@@ -26,7 +26,7 @@
     @Test
     public void secondCrashNamesOneCulprit() {
         Quarantine quarantine = new Quarantine(SETTINGS);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT, BYSTANDER), 0);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT, BYSTANDER), 0);
 
         assertEquals(quarantine.mayRun(CULPRIT, id(1), 0), Verdict.OTHER_BACKEND);
         assertEquals(quarantine.mayRun(CULPRIT, id(2), 0), Verdict.MAY_RUN);
@@ -34,7 +34,7 @@
         assertEquals(quarantine.mayRun(BYSTANDER, id(2), 0), Verdict.OTHER_BACKEND);
         assertEquals(quarantine.mayRun(BYSTANDER, id(3), 0), Verdict.MAY_RUN);
 
-        quarantine.onBackendDied(id(2), quarantine.runningOn(id(2)), 10);
+        quarantine.onBackendCrashed(id(2), quarantine.runningOn(id(2)), 10);
         assertEquals(quarantine.mayRun(CULPRIT, id(3), 10), Verdict.QUARANTINED);
         assertEquals(quarantine.quarantinedMillis(CULPRIT, 10), Optional.of(1_000L));
         assertEquals(quarantine.mayRun(BYSTANDER, id(3), 10), Verdict.MAY_RUN);
@@ -43,8 +43,8 @@
     @Test
     public void twoStrikesOnOneServerAreOne() {
         Quarantine quarantine = new Quarantine(SETTINGS);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT, CULPRIT), 0);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT), 10);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT, CULPRIT), 0);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT), 10);
 
         assertEquals(quarantine.mayRun(CULPRIT, id(2), 10), Verdict.MAY_RUN);
     }
@@ -52,8 +52,8 @@
     @Test
     public void strikesExpire() {
         Quarantine quarantine = new Quarantine(SETTINGS);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT), 0);
-        quarantine.onBackendDied(id(2), List.of(CULPRIT), 0);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT), 0);
+        quarantine.onBackendCrashed(id(2), List.of(CULPRIT), 0);
 
         assertEquals(quarantine.mayRun(CULPRIT, id(3), 999), Verdict.QUARANTINED);
         assertEquals(quarantine.mayRun(CULPRIT, id(3), 1_000), Verdict.MAY_RUN);
@@ -62,7 +62,7 @@
     @Test
     public void endedRequestFreesItsServer() {
         Quarantine quarantine = new Quarantine(SETTINGS);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT, BYSTANDER), 0);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT, BYSTANDER), 0);
         quarantine.started(CULPRIT, id(2));
         quarantine.started(CULPRIT, id(2));
         quarantine.ended(CULPRIT, id(2));
@@ -93,10 +93,10 @@
     @Test
     public void memoryIsBoundedAndKeepsTheQuarantined() {
         Quarantine quarantine = new Quarantine(SETTINGS);
-        quarantine.onBackendDied(id(1), List.of(CULPRIT), 0);
-        quarantine.onBackendDied(id(2), List.of(CULPRIT), 0);
+        quarantine.onBackendCrashed(id(1), List.of(CULPRIT), 0);
+        quarantine.onBackendCrashed(id(2), List.of(CULPRIT), 0);
         for (long other = 100; other < 200; other++) {
-            quarantine.onBackendDied(id(1), List.of(other), 1);
+            quarantine.onBackendCrashed(id(1), List.of(other), 1);
         }
         assertEquals(quarantine.notices(1).size(), 8);
         assertTrue(quarantine.quarantinedMillis(CULPRIT, 1).isPresent());
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/FakeEngines.java
@@ -119,7 +119,7 @@
                         effect.request().neededInMillis() + mRandom.nextInt(50),
                         effect.request().neededInMillis() + 100);
         if (!fault()) {
-            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantAnswer(answer, now));
+            at(1 + mRandom.nextInt(300), now -> mMachine.onGrantResponse(answer, now));
         }
     }
 
@@ -129,7 +129,7 @@
                     mRandom.nextBoolean() ? GrantDecision.TOO_LATE : GrantDecision.NOT_OWNER;
             GrantResponse answer =
                     new GrantResponse(attempt, effect.request().backend(), decision, 700, 900);
-            at(2, now -> mMachine.onGrantAnswer(answer, now));
+            at(2, now -> mMachine.onGrantResponse(answer, now));
         }
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -187,7 +187,7 @@
         }
 
         @Override
-        public void backendDied(RequestShape shape, BackendId backend, long now) {
+        public void backendCrashed(RequestShape shape, BackendId backend, long now) {
             // The exclusion set of the machine is enough here.
         }
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
@@ -22,7 +22,7 @@
         RetryBudget budget = new RetryBudget(TENTH);
         int retries = 0;
         for (int i = 0; i < 10_000; i++) {
-            budget.freshRequest(SERVICE, i);
+            budget.recordRequest(SERVICE, i);
             retries += budget.tryAcquire(SERVICE, i) ? 1 : 0;
         }
         assertTrue(retries >= 1_000 && retries <= 1_005, "retries " + retries);
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ParsedConfiguration.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/codec/ParsedConfiguration.java
@@ -8,10 +8,10 @@
  * What could be made of a set of configuration objects.
  *
  * @param view the objects that could be parsed
- * @param refused why each other object was left out, by its key
+ * @param rejected why each other object was left out, by its key
  */
-public record ParsedConfiguration(ConfigurationView view, Map<ObjectKey, String> refused) {
+public record ParsedConfiguration(ConfigurationView view, Map<ObjectKey, String> rejected) {
     public ParsedConfiguration {
-        refused = Map.copyOf(refused);
+        rejected = Map.copyOf(rejected);
     }
 }
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeProgress.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeProgress.java
@@ -49,7 +49,7 @@
                     current.map(object -> OptionalLong.of(object.version()))
                             .orElseGet(OptionalLong::empty));
         }
-        return Step.end(Either.right(new ChangeResult.Lost(current, lostAnswer.isPresent())));
+        return Step.end(Either.right(new ChangeResult.Conflict(current, lostAnswer.isPresent())));
     }
 
     private Step afterError(PlatformError error) {
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeResult.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ChangeResult.java
@@ -20,6 +20,6 @@
      * @param tookEffectPossible whether the lost change may have been in force before the winner,
      *     which is so only if an answer to it was lost
      */
-    record Lost(Optional<StoredObject> winner, boolean tookEffectPossible)
+    record Conflict(Optional<StoredObject> current, boolean mayHaveTakenEffect)
             implements ChangeResult {}
 }
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/codec/ConfigurationCodecTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/codec/ConfigurationCodecTest.java
@@ -146,7 +146,7 @@
         assertEquals(parsed.view().presetInForce(), Optional.of(PRESET));
         assertTrue(parsed.view().services().isEmpty());
         assertTrue(parsed.view().backends().isEmpty());
-        assertEquals(parsed.refused().keySet(), Set.of(backendKey, misnamed));
+        assertEquals(parsed.rejected().keySet(), Set.of(backendKey, misnamed));
     }
 
     @Test
--- a/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/ConditionalChangeTest.java
+++ b/cyclamenpaddle-store/src/test/java/org/cyclamenpaddle/store/objects/ConditionalChangeTest.java
@@ -52,7 +52,8 @@
         FaultyStore store = store(Fault.NONE, Fault.NONE);
         create(store, "theirs");
         assertEquals(
-                create(store, "mine"), Either.right(new ChangeResult.Lost(store.current(), false)));
+                create(store, "mine"),
+                Either.right(new ChangeResult.Conflict(store.current(), false)));
     }
 
     @Test
