--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -49,7 +49,7 @@
     // and dispatches once; the resend at the other host gets the same answer.
     @Test
     public void lostClaimAnswerIsSettledByReadingBack() {
-        mFleet.platform().loseAnswers(1);
+        mFleet.platform().loseResponses(1);
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-lost", "2");
         HttpResponse<String> again = mFleet.caller("h2").book("k-lost", "2");
@@ -63,8 +63,8 @@
     // the caller hears "unknown", never "not run"; resends at both hosts run nothing again.
     @Test
     public void lostServiceAnswerIsUnknownAndNeverRunsAgain() {
-        mFleet.plain(1).loseAnswers(1);
-        mFleet.plain(2).loseAnswers(1);
+        mFleet.plain(1).loseResponses(1);
+        mFleet.plain(2).loseResponses(1);
 
         HttpResponse<String> first = mFleet.caller("h1").book("k-cut", "3");
         HttpResponse<String> again = mFleet.caller("h2").book("k-cut", "3");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BrokenEngineTest.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.OpenAnswer;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -43,7 +43,7 @@
 
         mFleet.decode(busy).crash();
 
-        assertEquals(answer.text(), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(answer.text(), CompletionText.generate(PROMPT, TOKENS));
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
     }
 
@@ -56,7 +56,7 @@
 
         mFleet.decode(busyDecode()).silenceStreams();
 
-        assertEquals(answer.text(), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(answer.text(), CompletionText.generate(PROMPT, TOKENS));
     }
 
     // The first transfer stalls. Its deadline passes, the attempt is cancelled, and the request is
@@ -68,7 +68,7 @@
 
         HttpResponse<String> answer = mFleet.caller("h1").complete(PROMPT, 10, true);
 
-        assertEquals(Caller.text(answer.body()), AnswerText.whole(PROMPT, 10));
+        assertEquals(Caller.text(answer.body()), CompletionText.generate(PROMPT, 10));
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/CallerGoneTest.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -84,7 +84,7 @@
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     private void leaveWhileStreaming() throws IOException {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ChaosFault.java
@@ -51,13 +51,13 @@
     PLATFORM_LOST_ANSWERS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            fleet.platform().loseAnswers(1 + random.nextInt(FEW));
+            fleet.platform().loseResponses(1 + random.nextInt(FEW));
         }
     },
     SERVICE_LOST_ANSWERS {
         @Override
         void inject(TestFleet fleet, UniformRandomProvider random) {
-            fleet.plain(1 + random.nextInt(PLAIN)).loseAnswers(1 + random.nextInt(FEW));
+            fleet.plain(1 + random.nextInt(PLAIN)).loseResponses(1 + random.nextInt(FEW));
         }
     };
 
@@ -73,9 +73,9 @@
     /** Ends every fault that would not end by itself. */
     static void endAll(TestFleet fleet) {
         fleet.platform().outage(Outage.NONE);
-        fleet.platform().loseAnswers(0);
-        fleet.plain(1).loseAnswers(0);
-        fleet.plain(2).loseAnswers(0);
+        fleet.platform().loseResponses(0);
+        fleet.plain(1).loseResponses(0);
+        fleet.plain(2).loseResponses(0);
         engines(fleet).forEach(engine -> engine.loseCancels(0));
         engines(fleet).forEach(engine -> engine.stallTransfers(0));
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.Operator;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.cyclamenpaddle.standins.platform.Outage;
 import org.testng.annotations.AfterMethod;
@@ -94,7 +94,7 @@
     @Test
     public void lostAnswerOfAcceptedPresetIsSettled() {
         long seen = mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
-        mFleet.platform().loseAnswers(1);
+        mFleet.platform().loseResponses(1);
 
         HttpResponse<String> answer = use("h1", "peak", seen);
 
@@ -120,7 +120,7 @@
                 () -> mFleet.caller("h3").complete(PROMPT, 4, true).statusCode() == 200);
         assertEquals(
                 Caller.text(mFleet.caller("h3").complete(PROMPT, 4, true).body()),
-                AnswerText.whole(PROMPT, 4));
+                CompletionText.generate(PROMPT, 4));
         HttpResponse<String> refused = use("h3", "maintenance", seen);
         assertTrue(refused.statusCode() >= 500, refused.body());
         assertEquals(inForce("h3"), "peak");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
@@ -19,7 +19,7 @@
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 
 /**
  * Callers stream and book at three hosts while faults come; what callers, faults and pauses are
@@ -133,7 +133,7 @@
         if (answer.body().contains("event: error") || answer.statusCode() != 200) {
             mNotWhole.incrementAndGet();
         } else {
-            finished(host, answer, AnswerText.whole(prompt, tokens));
+            finished(host, answer, CompletionText.generate(prompt, tokens));
         }
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
@@ -14,7 +14,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.HostProcess;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -94,7 +94,7 @@
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     private void awaitMoreAnswers() {
@@ -117,7 +117,7 @@
             HttpResponse<String> answer = mFleet.caller(host).complete(prompt, TOKENS, true);
             assertEquals(
                     answer.statusCode(), 200, answer.statusCode() == 200 ? "" : told(host, answer));
-            assertEquals(Caller.text(answer.body()), AnswerText.whole(prompt, TOKENS));
+            assertEquals(Caller.text(answer.body()), CompletionText.generate(prompt, TOKENS));
             mAnswers.incrementAndGet();
         }
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
@@ -12,7 +12,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.Operator;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.cyclamenpaddle.standins.platform.Outage;
 import org.testng.annotations.AfterMethod;
@@ -56,7 +56,7 @@
 
         use(swapped(busy));
 
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(answer.join().body()), CompletionText.generate(PROMPT, TOKENS));
         awaitRoles(swapped(busy));
         long before = mFleet.decode(number(busy)).counts().prefilledTokens();
         awaitServed("h1");
@@ -103,9 +103,10 @@
 
         mFleet.killHost(owner);
 
-        assertEquals(Caller.text(onFirst.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(onFirst.join().body()), CompletionText.generate(PROMPT, TOKENS));
         assertEquals(
-                Caller.text(onSecond.join().body()), AnswerText.whole(PROMPT + "Again. ", TOKENS));
+                Caller.text(onSecond.join().body()),
+                CompletionText.generate(PROMPT + "Again. ", TOKENS));
         awaitRoles(swapped("d1"));
         awaitServed(other);
         assertFalse(owner("d1").equals(owner));
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
@@ -14,7 +14,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.CutRelay;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -114,7 +114,7 @@
                     () -> mFleet.caller(host).complete(PROMPT, 3, true).statusCode() == 200);
             assertEquals(
                     Caller.text(mFleet.caller(host).complete(PROMPT, 9, true).body()),
-                    AnswerText.whole(PROMPT, 9));
+                    CompletionText.generate(PROMPT, 9));
         }
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.Operator;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -46,12 +46,12 @@
         mFleet.host("h1").stop();
 
         assertFalse(mFleet.caller("h1").ready());
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(answer.join().body()), CompletionText.generate(PROMPT, TOKENS));
         stopped.join();
         assertEquals(mFleet.host("h1").stage(), StopStage.STOPPED);
         assertEquals(
                 Caller.text(mFleet.caller("h2").complete(PROMPT, 5, true).body()),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     // An operator drains a decode server that streams an answer. The answer goes on to its end,
@@ -66,7 +66,7 @@
         mFleet.operator("h1").drain("d" + leaving);
         Await.until("both hosts know", () -> leavingOn("h1", leaving) && leavingOn("h2", leaving));
 
-        assertEquals(Caller.text(answer.join().body()), AnswerText.whole(PROMPT, TOKENS));
+        assertEquals(Caller.text(answer.join().body()), CompletionText.generate(PROMPT, TOKENS));
         long before = mFleet.decode(leaving).counts().attempts();
         for (int i = 0; i < 6; i++) {
             String host = i % 2 == 0 ? "h1" : "h2";
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlatformCutTest.java
@@ -9,7 +9,7 @@
 import org.cyclamenpaddle.router.fixture.CutRelay;
 import org.cyclamenpaddle.router.fixture.Operator;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -102,7 +102,7 @@
     private void assertServes(String prompt) {
         HttpResponse<String> answer = mFleet.caller("h1").complete(prompt, 3, true);
         assertEquals(answer.statusCode(), 200, answer.body());
-        assertEquals(Caller.text(answer.body()), AnswerText.whole(prompt, 3));
+        assertEquals(Caller.text(answer.body()), CompletionText.generate(prompt, 3));
     }
 
     private void assertTrueOutcome(HttpResponse<String> answer, String key) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.router.fixture.Await;
 import org.cyclamenpaddle.router.fixture.Caller;
 import org.cyclamenpaddle.router.fixture.TestFleet;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
@@ -41,7 +41,7 @@
             HttpResponse<String> answer = mFleet.caller(host).complete(PROMPT, 12, true);
 
             assertEquals(answer.statusCode(), 200, answer.body());
-            assertEquals(Caller.text(answer.body()), AnswerText.whole(PROMPT, 12));
+            assertEquals(Caller.text(answer.body()), CompletionText.generate(PROMPT, 12));
         }
         Await.until("engines hold nothing", () -> mFleet.heldPieces() == 0);
     }
@@ -54,7 +54,7 @@
 
         assertEquals(
                 caller.problem(answer).path("choices").path(0).path("text").asText(),
-                AnswerText.whole(PROMPT, 5));
+                CompletionText.generate(PROMPT, 5));
     }
 
     @Test
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/AnswerText.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/CompletionText.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.text.PromptText;
 
 /** The answer that every engine gives to a prompt: token i depends on prompt and i alone. */
-public final class AnswerText {
+public final class CompletionText {
 
     private static final List<String> WORDS =
             List.of(
@@ -16,7 +16,7 @@
     private static final long MIX = 0x9E3779B97F4A7C15L;
     private static final int SHIFT = 32;
 
-    private AnswerText() {}
+    private CompletionText() {}
 
     /** Returns token {@code index} of the answer to a prompt with {@code hash}. */
     public static String token(long hash, int index) {
@@ -41,7 +41,7 @@
     }
 
     /** Returns the whole answer to {@code prompt} of {@code tokens} tokens. */
-    public static String whole(String prompt, int tokens) {
+    public static String generate(String prompt, int tokens) {
         long hash = PromptText.hash(prompt);
         StringBuilder text = new StringBuilder();
         IntStream.range(0, tokens).forEach(i -> text.append(token(hash, i)));
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeAttempt.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeAttempt.java
@@ -71,10 +71,10 @@
      */
     void step(int meanTokens) {
         long hash = mCache.orElseThrow().hash();
-        int stop = AnswerText.length(hash, meanTokens);
+        int stop = CompletionText.length(hash, meanTokens);
         int end = Math.min(stop, mAsk.maxTokens());
         if (mNextIndex < end) {
-            emit(new EngineEvent.Token(mNextIndex, AnswerText.token(hash, mNextIndex)));
+            emit(new EngineEvent.Token(mNextIndex, CompletionText.token(hash, mNextIndex)));
             mNextIndex++;
         }
         if (mNextIndex >= end) {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
@@ -87,7 +87,7 @@
     }
 
     /** Refuses all new work as full, or stops doing so. */
-    public void refuse(boolean refusing) {
+    public void rejectNewWork(boolean refusing) {
         tell(model -> model.refuse(refusing));
     }
 
@@ -134,7 +134,7 @@
     HttpResponse apply(EngineFaults faults) {
         faults.stallTransfers().ifPresent(this::stallTransfers);
         faults.loseCancels().ifPresent(this::loseCancels);
-        faults.refuse().ifPresent(this::refuse);
+        faults.refuse().ifPresent(this::rejectNewWork);
         faults.loadLagMillis().ifPresent(this::loadLag);
         faults.restartMillis().ifPresent(this::restartAfterCrash);
         if (faults.silenceStreams()) {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillUnit.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillUnit.java
@@ -50,7 +50,7 @@
 
     /** Takes a prefill; {@code answer} runs when it is computed or refused. */
     void submit(PrefillAsk ask, Consumer<Either<EngineRefusal, PrefillDone>> answer) {
-        if (!AnswerText.begins(PromptText.hash(ask.prompt()), ask.prior())) {
+        if (!CompletionText.begins(PromptText.hash(ask.prompt()), ask.prior())) {
             answer.accept(Either.left(EngineRefusal.PRIOR_MISMATCH));
             return;
         }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/AnswerCheck.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/AnswerCheck.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.standins.load;
 
 import org.cyclamenpaddle.core.text.PromptText;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 
 /** Compares a streamed answer with the one that engines give to its prompt. */
 final class AnswerCheck {
@@ -24,7 +24,7 @@
      */
     AnswerCheck(String prompt, int meanTokens, int maxTokens) {
         mHash = PromptText.hash(prompt);
-        mLength = Math.min(maxTokens, AnswerText.length(mHash, meanTokens));
+        mLength = Math.min(maxTokens, CompletionText.length(mHash, meanTokens));
     }
 
     /** Takes the next piece of text. */
@@ -64,9 +64,9 @@
         if (mWrong || mDuplicated) {
             return;
         }
-        if (token.equals(AnswerText.token(mHash, mTokens))) {
+        if (token.equals(CompletionText.token(mHash, mTokens))) {
             mTokens++;
-        } else if (mTokens > 0 && token.equals(AnswerText.token(mHash, mTokens - 1))) {
+        } else if (mTokens > 0 && token.equals(CompletionText.token(mHash, mTokens - 1))) {
             mDuplicated = true;
         } else {
             mWrong = true;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/PlainServiceStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/PlainServiceStandin.java
@@ -83,7 +83,7 @@
     }
 
     /** Makes the next {@code calls} run and then lose their connection. */
-    public void loseAnswers(int calls) {
+    public void loseResponses(int calls) {
         mLoseAnswers.set(calls);
     }
 
@@ -105,7 +105,7 @@
     private HttpResponse apply(Faults faults) {
         delay(faults.delayMillis());
         failBeforeRun(faults.failBeforeRun());
-        loseAnswers(faults.loseAnswers());
+        loseResponses(faults.loseAnswers());
         return Answers.ok(faults);
     }
 
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/PlatformStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/PlatformStandin.java
@@ -87,12 +87,12 @@
     }
 
     /** Delays every answer by {@code millis}. */
-    public void slow(long millis) {
+    public void delayResponses(long millis) {
         mSlowMillis = millis;
     }
 
     /** Makes the next {@code writes} take effect and lose their answer. */
-    public void loseAnswers(int writes) {
+    public void loseResponses(int writes) {
         mLoseAnswers.set(writes);
     }
 
@@ -162,8 +162,8 @@
 
     private HttpResponse apply(Faults faults) {
         outage(faults.outage() == null ? Outage.NONE : faults.outage());
-        slow(faults.slowMillis());
-        loseAnswers(faults.loseAnswers());
+        delayResponses(faults.slowMillis());
+        loseResponses(faults.loseAnswers());
         if (faults.compact()) {
             compact();
         }
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineModelTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineModelTest.java
@@ -111,7 +111,7 @@
         EngineModel model = model("{}");
         decode(model, "d", 0, 5);
         mTimer.advanceMillis(25 * 5);
-        assertEquals(text(mEvents), AnswerText.whole(PROMPT, 5));
+        assertEquals(text(mEvents), CompletionText.generate(PROMPT, 5));
         assertEquals(mEvents.get(mEvents.size() - 1), new EngineEvent.End(5, "length"));
         assertEquals(model.heldPieces(), 0);
     }
@@ -119,10 +119,10 @@
     @Test
     public void answerStopsByItselfBeforeMaxTokens() {
         EngineModel model = model("{\"answerTokens\": 10}");
-        int length = AnswerText.length(PromptText.hash(PROMPT), 10);
+        int length = CompletionText.length(PromptText.hash(PROMPT), 10);
         decode(model, "d", 0, 100);
         mTimer.advanceMillis(25 * 20);
-        assertEquals(text(mEvents), AnswerText.whole(PROMPT, length));
+        assertEquals(text(mEvents), CompletionText.generate(PROMPT, length));
         assertEquals(mEvents.get(mEvents.size() - 1), new EngineEvent.End(length, "stop"));
         mEvents.clear();
         decode(model, "resumed", length, 100);
@@ -193,7 +193,7 @@
     public void priorTokensMustBeginTheAnswer() {
         EngineModel model = model("{}");
         long hash = PromptText.hash("p");
-        List<String> prior = List.of(AnswerText.token(hash, 0), AnswerText.token(hash, 1));
+        List<String> prior = List.of(CompletionText.token(hash, 0), CompletionText.token(hash, 1));
         model.prefill(new PrefillAsk("a", "p", prior, 0, 0), mPrefills::add);
         model.prefill(new PrefillAsk("b", "p", List.of("wrong "), 0, 0), mPrefills::add);
         mTimer.advanceMillis(100);
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/AnswerCheckTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/AnswerCheckTest.java
@@ -4,7 +4,7 @@
 
 import java.util.stream.IntStream;
 import org.cyclamenpaddle.core.text.PromptText;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -73,7 +73,7 @@
 
     private void tokens(String prompt, int from, int to) {
         long hash = PromptText.hash(prompt);
-        IntStream.range(from, to).forEach(i -> mCheck.text(AnswerText.token(hash, i)));
+        IntStream.range(from, to).forEach(i -> mCheck.text(CompletionText.token(hash, i)));
     }
 
     /** Returns the first index after {@code index} whose token differs from those around it. */
@@ -86,6 +86,6 @@
 
     private static boolean unlike(int first, int second) {
         long hash = PromptText.hash(PROMPT);
-        return !AnswerText.token(hash, first).equals(AnswerText.token(hash, second));
+        return !CompletionText.token(hash, first).equals(CompletionText.token(hash, second));
     }
 }
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/CompletionCallTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/CompletionCallTest.java
@@ -6,7 +6,7 @@
 import com.linecorp.armeria.common.HttpStatus;
 import com.linecorp.armeria.common.ResponseHeaders;
 import org.cyclamenpaddle.core.text.PromptText;
-import org.cyclamenpaddle.standins.engine.AnswerText;
+import org.cyclamenpaddle.standins.engine.CompletionText;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -73,7 +73,7 @@
     }
 
     private static String token(int index) {
-        return AnswerText.token(PromptText.hash(PROMPT), index);
+        return CompletionText.token(PromptText.hash(PROMPT), index);
     }
 
     private static String event(String text) {
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/plain/PlainServiceStandinTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/plain/PlainServiceStandinTest.java
@@ -38,7 +38,7 @@
 
     @Test
     public void lostAnswerRanAndFailureBeforeRunDidNot() {
-        mService.loseAnswers(1);
+        mService.loseResponses(1);
         assertThrows(CompletionException.class, () -> book("k"));
         assertEquals(mService.runs("k"), 1);
         mService.failBeforeRun(1);
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/PlatformStandinTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/PlatformStandinTest.java
@@ -67,7 +67,7 @@
     public void lostAnswerComesAfterTheChangeTookEffect() {
         // A host writes, the platform applies the write, and the connection dies before the
         // answer. The host can't tell this from a write that never arrived.
-        mPlatform.loseAnswers(1);
+        mPlatform.loseResponses(1);
         assertThrows(CompletionException.class, () -> create("k", "one"));
         assertEquals(mPlatform.value("k"), Optional.of("one"));
     }
