--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/Declaration.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/Declaration.java
@@ -11,16 +11,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.UUID;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Declares objects through the operators' API of an entry host. */
+/** Creates configuration objects through the operator API of an entry host. */
 public final class Declaration {
 
     private static final long TIMEOUT_MILLIS = 30_000;
 
     private final WebClient mEntry;
 
-    /** Creates a declaration through the entry host at {@code address}, as {@code host:port}. */
+    /** Creates a client of the entry host at {@code address}, as {@code host:port}. */
     public Declaration(String address) {
         mEntry =
                 WebClient.builder("http://" + address)
@@ -28,22 +28,22 @@
                         .build();
     }
 
-    /** Reads objects that {@link DeploymentFiles} wrote. */
+    /** Reads a file of objects written by {@link DeploymentFiles}. */
     public static List<DeclaredObject> read(Path file) throws IOException {
-        return Answers.JSON.readValue(file.toFile(), new TypeReference<>() {});
+        return JsonResponses.JSON.readValue(file.toFile(), new TypeReference<>() {});
     }
 
     /**
-     * Creates objects in their order.
+     * Creates objects in the given order.
      *
-     * @throws IOException if one is refused; those before it stay
+     * @throws IOException if an object is rejected; the objects before it remain created
      */
     public void declare(List<DeclaredObject> objects) throws IOException {
         for (DeclaredObject object : objects) {
-            AggregatedHttpResponse answer = mEntry.execute(request(object)).aggregate().join();
-            if (!answer.status().isSuccess()) {
+            AggregatedHttpResponse response = mEntry.execute(request(object)).aggregate().join();
+            if (!response.status().isSuccess()) {
                 throw new IOException(
-                        object.kind() + "/" + object.name() + ": " + answer.contentUtf8());
+                        object.kind() + "/" + object.name() + ": " + response.contentUtf8());
             }
         }
     }
@@ -54,7 +54,7 @@
                 .path("/operator/v1/objects/" + object.kind() + "/" + object.name())
                 .header("If-None-Match", "*")
                 .header("X-Change-Id", "declare-" + UUID.randomUUID())
-                .content(MediaType.JSON, Answers.write(Map.of("spec", object.spec())))
+                .content(MediaType.JSON, JsonResponses.write(Map.of("spec", object.spec())))
                 .build();
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeclaredObject.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeclaredObject.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One configuration object as operators declare it.
+ * Configuration object as declared by operators.
  *
- * @param kind kind in operator paths
- * @param name name
- * @param spec its members
+ * @param kind object kind in paths of the operator API
+ * @param name object name
+ * @param spec specification of the object
  */
 public record DeclaredObject(String kind, String name, JsonNode spec) {}
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/Deployment.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/Deployment.java
@@ -9,11 +9,11 @@
 import java.util.stream.IntStream;
 import org.cyclamenpaddle.core.config.BackendRole;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** The deployments of today, at their sizes. */
+/** Current deployments and their sizes. */
 public enum Deployment {
-    /** Franchise office in Gujarat: long circulars that many desks ask about, short answers. */
+    /** Franchise office in Gujarat: long circulars shared by many prompts, short completions. */
     SABARMATI("malt-reader", "spot-book", List.of("ahm", "mhs", "rjk", "bnk"), 4, 9) {
         @Override
         public WorkloadShape workload() {
@@ -34,7 +34,9 @@
             return 580;
         }
     },
-    /** Fire services around Perth: a long history for each site, short notes, some patience. */
+    /**
+     * Fire services around Perth: a long history per site, short completions, relaxed TTFT target.
+     */
     SWANLINE(
             "note-writer",
             "rounds-desk",
@@ -61,8 +63,8 @@
         }
     };
 
-    /** Plain service instances of either deployment. */
-    public static final int PLAIN_RUNNERS = 4;
+    /** Number of plain service instances in each deployment. */
+    public static final int PLAIN_SERVERS = 4;
 
     private static final long PER_TOKEN_MILLIS = 44;
     private static final int PREFILL_TOKENS_PER_SECOND = 25_000;
@@ -73,34 +75,34 @@
     private final String mModelService;
     private final String mPlainService;
     private final List<String> mDomains;
-    private final int mPrefillRunners;
-    private final int mDecodeRunners;
+    private final int mPrefillEngines;
+    private final int mDecodeEngines;
 
     Deployment(
             String modelService,
             String plainService,
             List<String> domains,
-            int prefillRunners,
-            int decodeRunners) {
+            int prefillEngines,
+            int decodeEngines) {
         mModelService = modelService;
         mPlainService = plainService;
         mDomains = domains;
-        mPrefillRunners = prefillRunners;
-        mDecodeRunners = decodeRunners;
+        mPrefillEngines = prefillEngines;
+        mDecodeEngines = decodeEngines;
     }
 
-    /** Returns the shape of the model service's requests. */
+    /** Returns the workload shape of the model service. */
     public abstract WorkloadShape workload();
 
     /** Returns the target for the time to first token, in modelled milliseconds. */
     public abstract long firstTokenMillis();
 
-    /** Returns the target for the time between tokens, in modelled milliseconds. */
+    /** Returns the target for the inter-token latency, in modelled milliseconds. */
     public long perTokenMillis() {
         return PER_TOKEN_MILLIS;
     }
 
-    /** Returns the form used on the command line. */
+    /** Returns the name used on the command line. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
@@ -125,14 +127,14 @@
         return mDomains;
     }
 
-    /** Returns the roles of the model runners, those that prefill first. */
-    public List<BackendRole> runnerRoles() {
-        return IntStream.range(0, mPrefillRunners + mDecodeRunners)
-                .mapToObj(i -> i < mPrefillRunners ? BackendRole.PREFILL : BackendRole.DECODE)
+    /** Returns the roles of the engines, prefill engines first. */
+    public List<BackendRole> engineRoles() {
+        return IntStream.range(0, mPrefillEngines + mDecodeEngines)
+                .mapToObj(i -> i < mPrefillEngines ? BackendRole.PREFILL : BackendRole.DECODE)
                 .collect(Collectors.toList());
     }
 
-    /** Returns the failure domain of the {@code index}th of several like things. */
+    /** Returns the failure domain of the backend or host with an index, in round-robin order. */
     public String domain(int index) {
         return mDomains.get(index % mDomains.size());
     }
@@ -140,10 +142,10 @@
     /**
      * Returns the engines' sizes and timing.
      *
-     * @param speed by how much modelled time runs faster than the machine's clock
+     * @param speed factor by which modelled time runs faster than real time
      */
     public EngineSettings engineSettings(double speed) {
-        ObjectNode settings = Answers.JSON.createObjectNode();
+        ObjectNode settings = JsonResponses.JSON.createObjectNode();
         settings.put("prefillTokensPerSecond", PREFILL_TOKENS_PER_SECOND);
         settings.put("kvBytesPerToken", KV_BYTES_PER_TOKEN);
         settings.put("linkBytesPerSecond", LINK_BYTES_PER_SECOND);
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeploymentFiles.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeploymentFiles.java
@@ -16,23 +16,23 @@
 import org.cyclamenpaddle.core.id.FailureDomain;
 import org.cyclamenpaddle.core.id.PresetName;
 import org.cyclamenpaddle.core.id.ServiceName;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.cyclamenpaddle.standins.platform.ListedHost;
 
-/** Files from which a deployment is started: stand-ins, entry hosts and declared objects. */
+/** Writes the files that start a deployment: stand-ins, entry host settings and objects. */
 public final class DeploymentFiles {
 
-    /** Stand-ins, for the subcommand {@code fleet}. */
+    /** Name of the stand-ins file, read by the subcommand {@code fleet}. */
     public static final String FLEET = "fleet.json";
 
-    /** Objects, for the subcommand {@code declare}. */
+    /** Name of the objects file, read by the subcommand {@code declare}. */
     public static final String OBJECTS = "objects.json";
 
     private static final long STREAM_SILENCE_MILLIS = 2_000;
     private static final long TRANSFER_MILLIS = 700;
     private static final long LOAD_POLL_MILLIS = 250;
     private static final ObjectMapper SPECS =
-            Answers.JSON
+            JsonResponses.JSON
                     .copy()
                     .addMixIn(BackendId.class, PlainText.class)
                     .addMixIn(FailureDomain.class, PlainText.class)
@@ -43,9 +43,9 @@
     private final String mPolicy;
 
     /**
-     * Creates the files of a plan.
+     * Creates a writer of the files of a plan.
      *
-     * @param plan the plan
+     * @param plan deployment plan
      * @param policy value of the entry hosts' setting {@code routing.policy}
      */
     public DeploymentFiles(DeploymentPlan plan, String policy) {
@@ -53,7 +53,7 @@
         mPolicy = policy;
     }
 
-    /** Writes an identifier as its text. */
+    /** Jackson mix-in that serializes an identifier as a string. */
     private interface PlainText {
 
         @JsonValue
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Returns the declared objects, each after those that it names. */
+    /** Returns the declared objects, each after the objects that it references. */
     public List<DeclaredObject> objects() {
         List<DeclaredObject> objects = new ArrayList<>();
         mPlan.services().forEach(s -> objects.add(object(ObjectKind.SERVICE, s.name().value(), s)));
@@ -81,11 +81,11 @@
     }
 
     private ObjectNode fleet() {
-        ObjectNode fleet = Answers.JSON.createObjectNode();
+        ObjectNode fleet = JsonResponses.JSON.createObjectNode();
         fleet.putArray("platformPorts").add(mPlan.platformPort());
-        fleet.set("plainPorts", Answers.JSON.valueToTree(mPlan.plainPorts()));
-        fleet.set("hosts", Answers.JSON.valueToTree(mPlan.hosts()));
-        JsonNode settings = Answers.JSON.valueToTree(mPlan.engineSettings());
+        fleet.set("plainPorts", JsonResponses.JSON.valueToTree(mPlan.plainPorts()));
+        fleet.set("hosts", JsonResponses.JSON.valueToTree(mPlan.hosts()));
+        JsonNode settings = JsonResponses.JSON.valueToTree(mPlan.engineSettings());
         mPlan.enginePorts()
                 .forEach(
                         port ->
@@ -134,6 +134,6 @@
     }
 
     private static void write(Path file, Object value) throws IOException {
-        Answers.JSON.writerWithDefaultPrettyPrinter().writeValue(file.toFile(), value);
+        JsonResponses.JSON.writerWithDefaultPrettyPrinter().writeValue(file.toFile(), value);
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeploymentPlan.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/DeploymentPlan.java
@@ -20,17 +20,17 @@
 import org.cyclamenpaddle.standins.platform.ListedHost;
 
 /**
- * A deployment on one machine: which stand-in and entry host listens where, and what operators
- * declare for it.
+ * Plan of a deployment on one machine: the ports of stand-ins and entry hosts and the configuration
+ * objects.
  *
  * @param deployment deployment
- * @param speed by how much modelled time runs faster than the machine's clock
- * @param basePort first port; the plan uses the 300 from there on
+ * @param speed factor by which modelled time runs faster than real time
+ * @param basePort first port; the plan uses the 300 ports that start there
  * @param entryHosts number of entry hosts
  */
 public record DeploymentPlan(Deployment deployment, double speed, int basePort, int entryHosts) {
 
-    /** IP number of everything in a plan. */
+    /** IP address of all stand-ins and entry hosts. */
     public static final String ADDRESS = "127.0.0.1";
 
     private static final int PLAIN_OFFSET = 1;
@@ -43,7 +43,7 @@
 
     public DeploymentPlan {
         if (entryHosts < 1 || entryHosts > PEER_OFFSET - HTTP_OFFSET) {
-            throw new IllegalArgumentException("bad number of entry hosts: " + entryHosts);
+            throw new IllegalArgumentException("number of entry hosts out of range: " + entryHosts);
         }
     }
 
@@ -54,12 +54,12 @@
 
     /** Returns the plain services' ports. */
     public List<Integer> plainPorts() {
-        return ports(PLAIN_OFFSET, Deployment.PLAIN_RUNNERS);
+        return ports(PLAIN_OFFSET, Deployment.PLAIN_SERVERS);
     }
 
-    /** Returns the engines' ports, those that prefill first. */
+    /** Returns the engines' ports, prefill engines first. */
     public List<Integer> enginePorts() {
-        return ports(ENGINE_OFFSET, deployment.runnerRoles().size());
+        return ports(ENGINE_OFFSET, deployment.engineRoles().size());
     }
 
     /** Returns the engines' sizes and timing. */
@@ -117,9 +117,9 @@
         return backends;
     }
 
-    /** Returns the preset for ordinary days. */
+    /** Returns the preset for normal operation. */
     public PresetSpec preset() {
-        List<BackendRole> roles = deployment.runnerRoles();
+        List<BackendRole> roles = deployment.engineRoles();
         List<Assignment> assignments =
                 IntStream.range(0, roles.size())
                         .mapToObj(
@@ -188,7 +188,7 @@
     }
 
     private BackendId engineId(int index) {
-        String role = deployment.runnerRoles().get(index).name().toLowerCase(Locale.ROOT);
+        String role = deployment.engineRoles().get(index).name().toLowerCase(Locale.ROOT);
         return new BackendId(role + "-" + (index + 1));
     }
 
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/WorkloadShape.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/WorkloadShape.java
@@ -1,16 +1,16 @@
 package org.cyclamenpaddle.standins.deployment;
 
 /**
- * Shape of the prompts and answers of a model service.
+ * Distribution of the prompts and completions of a model service.
  *
- * @param prefixes texts that many prompts begin with: circulars, site histories
- * @param prefixSkew exponent of the Zipf distribution over them
- * @param prefixTokens their lengths
- * @param ownTokens length of what follows, which no other prompt has
- * @param bareShare share of prompts that begin with none of them
- * @param bareTokens lengths of those
- * @param answerTokens mean length of an answer
- * @param teams teams that send requests
+ * @param prefixes number of shared prompt prefixes, such as circulars and site histories
+ * @param prefixSkew exponent of the Zipf distribution over the prefixes
+ * @param prefixTokens lengths of the prefixes
+ * @param ownTokens lengths of the unique part that follows the prefix
+ * @param bareShare share of prompts without a shared prefix
+ * @param bareTokens lengths of the prompts without a shared prefix
+ * @param answerTokens mean completion length in tokens
+ * @param teams number of teams that send requests
  * @param teamSkew exponent of the Zipf distribution over teams
  */
 public record WorkloadShape(
@@ -27,7 +27,7 @@
     public WorkloadShape {
         if (prefixes < 1 || teams < 1 || answerTokens < 1) {
             throw new IllegalArgumentException(
-                    "shape needs prefixes, teams and answers: "
+                    "prefixes, teams and answerTokens must be at least 1: "
                             + prefixes
                             + ", "
                             + teams
@@ -35,7 +35,8 @@
                             + answerTokens);
         }
         if (bareShare < 0 || bareShare > 1) {
-            throw new IllegalArgumentException("share " + bareShare + " must be from 0 to 1");
+            throw new IllegalArgumentException(
+                    "bareShare " + bareShare + " must be between 0 and 1");
         }
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/deployment/package-info.java
@@ -1,2 +1,2 @@
-/** The two deployments: their sizes, their workloads and their configuration. */
+/** Simulated deployments: sizes, workloads and configuration. */
 package org.cyclamenpaddle.standins.deployment;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/CacheEventLog.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/CacheEventLog.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Cache events, published late and with gaps in their sequence. */
+/** Log of prefix cache events, published with a delay and with gaps in the sequence numbers. */
 final class CacheEventLog {
 
-    private static final int LIMIT = 8_192;
+    private static final int MAX_ENTRIES = 8_192;
 
     private final EngineTimer mTimer;
     private final long mLagMicros;
@@ -25,7 +25,7 @@
     /** One published event; {@code kind} is {@code stored} or {@code evicted}. */
     record CacheEvent(long sequence, String kind, String hash) {}
 
-    /** Published events and the last sequence number published or lost. */
+    /** Published events and the last sequence number, which may be that of a lost event. */
     record CacheEvents(long lastSequence, List<CacheEvent> events) {}
 
     private record Entry(long fromMicros, CacheEvent event, boolean lost) {}
@@ -35,7 +35,7 @@
         boolean lost = mLossEvery > 0 && sequence % mLossEvery == 0;
         CacheEvent event = new CacheEvent(sequence, kind, Long.toHexString(hash));
         mEntries.addLast(new Entry(mTimer.micros() + mLagMicros, event, lost));
-        if (mEntries.size() > LIMIT) {
+        if (mEntries.size() > MAX_ENTRIES) {
             mEntries.removeFirst();
         }
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/CompletionText.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/CompletionText.java
@@ -4,7 +4,10 @@
 import java.util.stream.IntStream;
 import org.cyclamenpaddle.core.text.PromptText;
 
-/** The answer that every engine gives to a prompt: token i depends on prompt and i alone. */
+/**
+ * Deterministic completion of a prompt, identical on every engine: token {@code i} depends only on
+ * the prompt and {@code i}.
+ */
 public final class CompletionText {
 
     private static final List<String> WORDS =
@@ -18,7 +21,7 @@
 
     private CompletionText() {}
 
-    /** Returns token {@code index} of the answer to a prompt with {@code hash}. */
+    /** Returns token {@code index} of the completion of the prompt with {@code hash}. */
     public static String token(long hash, int index) {
         long mixed = (hash ^ (index * MIX)) * MIX;
         int word = Math.floorMod((int) (mixed >>> SHIFT), WORDS.size());
@@ -26,11 +29,12 @@
     }
 
     /**
-     * Returns the length at which the answer to a prompt stops by itself.
+     * Returns the length at which the completion of a prompt ends with a stop token.
      *
      * @param hash hash of the prompt
-     * @param meanTokens mean length over all prompts; 0 if no answer stops by itself
-     * @return tokens, from half the mean to one and a half of it
+     * @param meanTokens mean length over all prompts; 0 if completions never stop before their
+     *     limit
+     * @return length in tokens, from 0.5 to 1.5 times the mean
      */
     public static int length(long hash, int meanTokens) {
         if (meanTokens == 0) {
@@ -40,7 +44,7 @@
         return Math.max(1, meanTokens / 2 + spread);
     }
 
-    /** Returns the whole answer to {@code prompt} of {@code tokens} tokens. */
+    /** Returns the first {@code tokens} tokens of the completion of {@code prompt}. */
     public static String generate(String prompt, int tokens) {
         long hash = PromptText.hash(prompt);
         StringBuilder text = new StringBuilder();
@@ -48,8 +52,10 @@
         return text.toString();
     }
 
-    /** Returns whether {@code tokens} begin the answer to a prompt with {@code hash}. */
-    static boolean begins(long hash, List<String> tokens) {
+    /**
+     * Returns whether the completion of the prompt with {@code hash} starts with {@code tokens}.
+     */
+    static boolean isPrefix(long hash, List<String> tokens) {
         return IntStream.range(0, tokens.size())
                 .allMatch(i -> token(hash, i).equals(tokens.get(i)));
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeAttempt.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeAttempt.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** One decode from its acceptance until its events are forgotten. */
+/** Decode attempt, from admission until its events are discarded. */
 final class DecodeAttempt {
 
-    private final DecodeAsk mAsk;
+    private final DecodeRequest mRequest;
     private final List<EngineEvent> mEvents = new ArrayList<>();
     private final List<Predicate<EngineEvent>> mListeners = new ArrayList<>();
     private Optional<KvCache> mCache = Optional.empty();
@@ -17,17 +17,17 @@
     private int mPieces;
     private boolean mEnded;
 
-    DecodeAttempt(DecodeAsk ask) {
-        mAsk = ask;
-        mNextIndex = ask.firstIndex();
+    DecodeAttempt(DecodeRequest request) {
+        mRequest = request;
+        mNextIndex = request.firstIndex();
     }
 
     String id() {
-        return mAsk.attempt();
+        return mRequest.attempt();
     }
 
-    DecodeAsk ask() {
-        return mAsk;
+    DecodeRequest request() {
+        return mRequest;
     }
 
     int pieces() {
@@ -46,7 +46,7 @@
         return mCache;
     }
 
-    void fetching(Runnable abort) {
+    void setAbortFetch(Runnable abort) {
         mAbortFetch = abort;
     }
 
@@ -55,7 +55,7 @@
         mAbortFetch = () -> {};
     }
 
-    void hold(int pieces) {
+    void setPieces(int pieces) {
         mPieces = pieces;
     }
 
@@ -65,20 +65,20 @@
     }
 
     /**
-     * Emits the next token, and the end after the last one.
+     * Emits the next token, followed by the end event after the last token.
      *
-     * @param meanTokens mean length of an answer that stops by itself; 0 if none does
+     * @param meanTokens mean completion length; 0 if completions never stop before their limit
      */
     void step(int meanTokens) {
         long hash = mCache.orElseThrow().hash();
         int stop = CompletionText.length(hash, meanTokens);
-        int end = Math.min(stop, mAsk.maxTokens());
+        int end = Math.min(stop, mRequest.maxTokens());
         if (mNextIndex < end) {
             emit(new EngineEvent.Token(mNextIndex, CompletionText.token(hash, mNextIndex)));
             mNextIndex++;
         }
         if (mNextIndex >= end) {
-            String reason = stop <= mAsk.maxTokens() ? "stop" : "length";
+            String reason = stop <= mRequest.maxTokens() ? "stop" : "length";
             finish(new EngineEvent.End(mNextIndex, reason));
         }
     }
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Passes the events from a token index on, those already there first.
+     * Delivers past and future events, starting from a token index.
      *
-     * @param index first token index
-     * @param listener returns whether it wants more
+     * @param index index of the first token to deliver
+     * @param listener receives each event; returns false to unsubscribe
      */
     void subscribe(int index, Predicate<EngineEvent> listener) {
         Predicate<EngineEvent> filtered = event -> !event.from(index) || listener.test(event);
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeUnit.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/DecodeUnit.java
@@ -10,17 +10,17 @@
 import java.util.stream.Stream;
 import org.cyclamenpaddle.core.config.BackendSpec;
 
-/** Decode slots: imports, the running batch, and the events of ended attempts. */
+/** Decode side of an engine: KV cache imports, the running batch and recently ended attempts. */
 final class DecodeUnit {
 
     private final EngineTimer mTimer;
     private final EngineSettings mSettings;
-    private final MemoryPieces mMemory;
+    private final KvMemory mMemory;
     private final KvFetcher mFetcher;
     private final EngineCounters mCounters;
-    private final EngineSignals mSignals;
+    private final EngineListener mListener;
     private final Map<String, DecodeAttempt> mAttempts = new LinkedHashMap<>();
-    private final Map<DecodeAttempt, KvCache> mWaiting = new LinkedHashMap<>();
+    private final Map<DecodeAttempt, KvCache> mAwaitingMemory = new LinkedHashMap<>();
     private final List<DecodeAttempt> mJoining = new ArrayList<>();
     private final List<DecodeAttempt> mRunning = new ArrayList<>();
     private boolean mStepping;
@@ -28,30 +28,30 @@
     DecodeUnit(
             EngineTimer timer,
             EngineSettings settings,
-            MemoryPieces memory,
+            KvMemory memory,
             KvFetcher fetcher,
             EngineCounters counters,
-            EngineSignals signals) {
+            EngineListener listener) {
         mTimer = timer;
         mSettings = settings;
         mMemory = memory;
         mFetcher = fetcher;
         mCounters = counters;
-        mSignals = signals;
+        mListener = listener;
     }
 
-    /** Takes a decode and starts its import, or refuses it. */
-    Either<EngineRefusal, DecodeAttempt> submit(DecodeAsk ask) {
-        if (slotsUsed() >= mSettings.slots() || mMemory.used() >= mMemory.limit()) {
-            return Either.left(EngineRefusal.FULL);
+    /** Admits a decode request and starts its KV cache transfer, or rejects the request. */
+    Either<EngineRejection, DecodeAttempt> submit(DecodeRequest request) {
+        if (slotsUsed() >= mSettings.slots() || mMemory.used() >= mMemory.capacity()) {
+            return Either.left(EngineRejection.FULL);
         }
-        DecodeAttempt attempt = new DecodeAttempt(ask);
-        mAttempts.put(ask.attempt(), attempt);
+        DecodeAttempt attempt = new DecodeAttempt(request);
+        mAttempts.put(request.attempt(), attempt);
         mCounters.attempt();
-        attempt.fetching(mFetcher.fetch(ask.source(), result -> fetched(attempt, result)));
-        long transferMicros = EngineModel.micros(mSettings.modelled(ask.transferMillis()));
+        attempt.setAbortFetch(mFetcher.fetch(request.source(), result -> fetched(attempt, result)));
+        long transferMicros = EngineModel.micros(mSettings.modelled(request.transferMillis()));
         mTimer.schedule(transferMicros, () -> checkTransfer(attempt));
-        mSignals.changed();
+        mListener.loadChanged();
         return Either.right(attempt);
     }
 
@@ -59,7 +59,7 @@
         return Optional.ofNullable(mAttempts.get(id));
     }
 
-    /** Frees everything that an attempt holds; does nothing for an unknown or ended one. */
+    /** Cancels an attempt and releases its slot and memory; no-op if unknown or ended. */
     void cancel(String id) {
         find(id).ifPresent(attempt -> fail(attempt, "cancelled"));
     }
@@ -72,7 +72,7 @@
         return mAttempts.values().stream().filter(attempt -> !attempt.ended());
     }
 
-    Stream<DecodeAttempt> known() {
+    Stream<DecodeAttempt> retained() {
         return mAttempts.values().stream();
     }
 
@@ -81,32 +81,32 @@
             return;
         }
         result.peekLeft(reason -> fail(attempt, reason));
-        result.peek(cache -> take(attempt, cache));
+        result.peek(cache -> importCache(attempt, cache));
     }
 
-    private void take(DecodeAttempt attempt, KvCache cache) {
-        int more = attempt.ask().maxTokens() - attempt.ask().firstIndex();
-        int pieces = BackendSpec.piecesFor(cache.tokens() + more);
-        if (!mMemory.take(pieces)) {
-            mWaiting.put(attempt, cache);
+    private void importCache(DecodeAttempt attempt, KvCache cache) {
+        int newTokens = attempt.request().maxTokens() - attempt.request().firstIndex();
+        int pieces = BackendSpec.piecesFor(cache.tokens() + newTokens);
+        if (!mMemory.tryAllocate(pieces)) {
+            mAwaitingMemory.put(attempt, cache);
             return;
         }
-        attempt.hold(pieces);
-        attempt.fetching(() -> {});
+        attempt.setPieces(pieces);
+        attempt.setAbortFetch(() -> {});
         if (cache.crashes()) {
-            mSignals.crash();
+            mListener.crashed();
             return;
         }
         attempt.imported(cache);
         mJoining.add(attempt);
-        mSignals.changed();
+        mListener.loadChanged();
         startBatch();
     }
 
-    private void retryWaiting() {
-        Map<DecodeAttempt, KvCache> waiting = new LinkedHashMap<>(mWaiting);
-        mWaiting.clear();
-        waiting.forEach(this::take);
+    private void retryAwaitingMemory() {
+        Map<DecodeAttempt, KvCache> waiting = new LinkedHashMap<>(mAwaitingMemory);
+        mAwaitingMemory.clear();
+        waiting.forEach(this::importCache);
     }
 
     private void checkTransfer(DecodeAttempt attempt) {
@@ -120,7 +120,7 @@
             return;
         }
         attempt.abortFetch();
-        mWaiting.remove(attempt);
+        mAwaitingMemory.remove(attempt);
         mJoining.remove(attempt);
         mRunning.remove(attempt);
         attempt.finish(new EngineEvent.Failed(reason));
@@ -129,11 +129,11 @@
 
     private void release(DecodeAttempt attempt) {
         mMemory.release(attempt.pieces());
-        attempt.hold(0);
-        long keepMicros = EngineModel.micros(mSettings.keepMillis());
-        mTimer.schedule(keepMicros, () -> mAttempts.remove(attempt.id(), attempt));
-        mSignals.changed();
-        retryWaiting();
+        attempt.setPieces(0);
+        long retentionMicros = EngineModel.micros(mSettings.keepMillis());
+        mTimer.schedule(retentionMicros, () -> mAttempts.remove(attempt.id(), attempt));
+        mListener.loadChanged();
+        retryAwaitingMemory();
     }
 
     private void startBatch() {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineCounters.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What an engine did since its stand-in was created; a crash does not reset it. Thread-safe. */
+/** Counters of an engine since its stand-in was created; not reset by a crash. Thread-safe. */
 final class EngineCounters {
 
     private final AtomicLong mPrefilledTokens = new AtomicLong();
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineEvent.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineEvent.java
@@ -1,25 +1,25 @@
 package org.cyclamenpaddle.standins.engine;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** One event of a decode stream. */
+/** Event of a decode stream. */
 sealed interface EngineEvent {
 
-    /** Returns the event as one line of JSON, with its line feed. */
+    /** Returns the event as one line of JSON, including the line feed. */
     String line();
 
-    /** Returns whether nothing follows. */
+    /** Returns whether this is the last event of the stream. */
     default boolean last() {
         return false;
     }
 
-    /** Returns whether a stream from {@code index} contains this event. */
+    /** Returns whether a stream that starts at token {@code index} contains this event. */
     default boolean from(int index) {
         return true;
     }
 
-    /** The KV cache has arrived. */
+    /** The KV cache was imported. */
     record Imported(long bytes) implements EngineEvent {
 
         @Override
@@ -28,7 +28,7 @@
         }
     }
 
-    /** One token. */
+    /** A generated token. */
     record Token(int index, String text) implements EngineEvent {
 
         @Override
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The whole answer was generated; {@code tokens} counts from index 0. */
+    /** The completion is finished; {@code tokens} is its length from index 0. */
     record End(int tokens, String finishReason) implements EngineEvent {
 
         @Override
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The attempt ended without the whole answer. */
+    /** The attempt failed before the completion was finished. */
     record Failed(String reason) implements EngineEvent {
 
         @Override
@@ -75,7 +75,7 @@
     }
 
     private static ObjectNode event(String name) {
-        return Answers.JSON.createObjectNode().put("event", name);
+        return JsonResponses.JSON.createObjectNode().put("event", name);
     }
 
     private static String line(ObjectNode event) {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineFaults.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineFaults.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Fault switches as scripts post them to {@code /standin/faults}; an absent one is left as it is.
+ * Body of {@code POST /standin/faults}; an absent member leaves its setting unchanged.
  *
- * @param stallTransfersValue next exports that never move a byte
- * @param loseCancelsValue next cancels that have no effect and lose their connection
- * @param refuseValue whether new work is refused as full
- * @param loadLagMillisValue age of the published load, in modelled milliseconds
- * @param restartMillisValue wait from a crash to the restart, in machine milliseconds; -1 for none
- * @param silenceStreams whether to silence the connections of open streams now
+ * @param stallTransfersValue number of next exports that transfer no bytes
+ * @param loseCancelsValue number of next cancels that have no effect and drop their connection
+ * @param refuseValue whether new work is rejected as full
+ * @param loadLagMillisValue delay of the published load, in modelled milliseconds
+ * @param restartMillisValue delay from a crash to the restart, in real milliseconds; -1 for none
+ * @param silenceStreams whether to stop all traffic on the connections of open streams now
  * @param crash whether to crash now
  */
 record EngineFaults(
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineLoad.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineLoad.java
@@ -1,12 +1,12 @@
 package org.cyclamenpaddle.standins.engine;
 
 /**
- * Load as an engine reports it.
+ * Load report of an engine.
  *
  * @param slots decode slots
  * @param slotsUsed decode slots in use
- * @param pieces memory pieces
- * @param piecesUsed memory pieces in use
- * @param queuedTokens uncached prompt tokens waiting for prefill or in it
+ * @param pieces pages of KV cache memory
+ * @param piecesUsed pages in use
+ * @param queuedTokens uncached prompt tokens queued for prefill or being prefilled
  */
 public record EngineLoad(int slots, int slotsUsed, int pieces, int piecesUsed, long queuedTokens) {}
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineModel.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineModel.java
@@ -10,33 +10,33 @@
 import java.util.stream.Stream;
 
 /**
- * Timing and state of one engine, without sockets and threads.
+ * Simulates the timing and state of one engine, without sockets or threads.
  *
- * <p>All calls run as tasks of its {@link EngineTimer}, one at a time.
+ * <p>Not thread-safe: all calls must run as tasks of its {@link EngineTimer}, one at a time.
  */
-final class EngineModel implements EngineSignals {
+final class EngineModel implements EngineListener {
 
-    /** Prompt text that makes the prefill engine crash. */
+    /** Marker in a prompt that crashes the prefill engine. */
     static final String CRASH_MARK = "CRASH-ENGINE";
 
-    /** Prompt text that makes the decode engine crash. */
+    /** Marker in a prompt that crashes the decode engine. */
     static final String CRASH_DECODE_MARK = "CRASH-DECODE";
 
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final int TOMBSTONE_LIMIT = 100_000;
+    private static final int MAX_TOMBSTONES = 100_000;
 
     private final EngineSettings mSettings;
     private final EngineCounters mCounters;
     private final Runnable mOnCrash;
-    private final MemoryPieces mMemory;
+    private final KvMemory mMemory;
     private final CacheEventLog mCacheEvents;
     private final PrefillUnit mPrefill;
     private final DecodeUnit mDecode;
     private final EngineOrders mOrders;
     private final LaggedLoad mLoad;
     private final Set<String> mTombstones = new LinkedHashSet<>();
-    private boolean mRefusing;
-    private boolean mLost;
+    private boolean mRejecting;
+    private boolean mDiscarded;
 
     EngineModel(
             EngineTimer timer,
@@ -47,7 +47,7 @@
         mSettings = settings;
         mCounters = counters;
         mOnCrash = onCrash;
-        mMemory = new MemoryPieces(settings.pieces());
+        mMemory = new KvMemory(settings.pieces());
         mCacheEvents = new CacheEventLog(timer, settings);
         PrefixCache cache = new PrefixCache(settings.cachePieces(), mCacheEvents);
         mPrefill = new PrefillUnit(timer, settings, mMemory, cache, counters, this);
@@ -56,8 +56,8 @@
         mLoad = new LaggedLoad(timer, micros(settings.loadLagMillis()), load());
     }
 
-    /** One line of the list of attempts. */
-    record AttemptLine(String attempt, String role, int pieces, int nextIndex, boolean ended) {}
+    /** Status of an attempt in {@code GET /v1/attempts}. */
+    record AttemptStatus(String attempt, String role, int pieces, int nextIndex, boolean ended) {}
 
     static long micros(long millis) {
         return millis * MICROS_PER_MILLI;
@@ -71,17 +71,18 @@
         return prompt.contains(CRASH_DECODE_MARK);
     }
 
-    void prefill(PrefillAsk ask, Consumer<Either<EngineRefusal, PrefillDone>> answer) {
-        refusal(ask.attempt(), "prefill")
+    void prefill(
+            PrefillRequest request, Consumer<Either<EngineRejection, PrefillResponse>> callback) {
+        rejection(request.attempt(), "prefill")
                 .ifPresentOrElse(
-                        reason -> answer.accept(Either.left(reason)),
-                        () -> mPrefill.submit(ask, answer));
+                        reason -> callback.accept(Either.left(reason)),
+                        () -> mPrefill.submit(request, callback));
     }
 
-    Either<EngineRefusal, DecodeAttempt> decode(DecodeAsk ask) {
-        return refusal(ask.attempt(), "decode")
-                .map(Either::<EngineRefusal, DecodeAttempt>left)
-                .orElseGet(() -> mDecode.submit(ask));
+    Either<EngineRejection, DecodeAttempt> decode(DecodeRequest request) {
+        return rejection(request.attempt(), "decode")
+                .map(Either::<EngineRejection, DecodeAttempt>left)
+                .orElseGet(() -> mDecode.submit(request));
     }
 
     Optional<Runnable> export(String attempt, Consumer<KvCache> done) {
@@ -92,24 +93,25 @@
         return mDecode.find(attempt);
     }
 
-    /** Cancels an attempt, also one that has not come yet. */
+    /** Cancels an attempt; one that arrives after its cancel is rejected. */
     void cancel(String attempt) {
         mTombstones.add(attempt);
-        if (mTombstones.size() > TOMBSTONE_LIMIT) {
+        if (mTombstones.size() > MAX_TOMBSTONES) {
             mTombstones.remove(mTombstones.iterator().next());
         }
         mPrefill.cancel(attempt);
         mDecode.cancel(attempt);
     }
 
-    List<AttemptLine> attempts() {
-        Stream<AttemptLine> prefills =
-                mPrefill.live().map(a -> new AttemptLine(a.id(), "prefill", a.pieces(), 0, false));
-        Stream<AttemptLine> decodes =
-                mDecode.known()
+    List<AttemptStatus> attempts() {
+        Stream<AttemptStatus> prefills =
+                mPrefill.live()
+                        .map(a -> new AttemptStatus(a.id(), "prefill", a.pieces(), 0, false));
+        Stream<AttemptStatus> decodes =
+                mDecode.retained()
                         .map(
                                 a ->
-                                        new AttemptLine(
+                                        new AttemptStatus(
                                                 a.id(),
                                                 "decode",
                                                 a.pieces(),
@@ -130,9 +132,9 @@
         return mCacheEvents.after(after);
     }
 
-    /** Applies an order; attempts in flight are cut off if it changes what the engine serves. */
+    /** Applies an order; cancels in-flight attempts if it changes service, model or role. */
     Either<EngineOrders.Stale, EngineOrders.State> order(EngineOrders.Order order) {
-        return mOrders.apply(order, this::cutOff);
+        return mOrders.apply(order, this::cancelAll);
     }
 
     EngineOrders.State state() {
@@ -143,28 +145,30 @@
         return mMemory.used();
     }
 
-    void refuse(boolean refusing) {
-        mRefusing = refusing;
+    void rejectNewWork(boolean rejecting) {
+        mRejecting = rejecting;
     }
 
     void stallTransfers(int transfers) {
         mPrefill.stallTransfers(transfers);
     }
 
-    /** Ends all attempts of a crashed model, so that lost prefill work is counted. */
-    void lose() {
-        mLost = true;
+    /**
+     * Cancels all prefills of a crashed model, so that lost prefill tokens are counted as wasted.
+     */
+    void discard() {
+        mDiscarded = true;
         mPrefill.live().map(PrefillAttempt::id).collect(Collectors.toList()).forEach(this::cancel);
     }
 
     @Override
-    public void changed() {
+    public void loadChanged() {
         mLoad.record(load());
     }
 
     @Override
-    public void crash() {
-        if (!mLost) {
+    public void crashed() {
+        if (!mDiscarded) {
             mOnCrash.run();
         }
     }
@@ -178,19 +182,19 @@
                 mPrefill.queuedTokens());
     }
 
-    private Optional<EngineRefusal> refusal(String attempt, String role) {
+    private Optional<EngineRejection> rejection(String attempt, String role) {
         if (mTombstones.contains(attempt)) {
-            return Optional.of(EngineRefusal.CANCELLED);
+            return Optional.of(EngineRejection.CANCELLED);
         }
-        if (mPrefill.knows(attempt) || mDecode.find(attempt).isPresent()) {
-            return Optional.of(EngineRefusal.EXISTS);
+        if (mPrefill.contains(attempt) || mDecode.find(attempt).isPresent()) {
+            return Optional.of(EngineRejection.EXISTS);
         }
-        return mRefusing || !mOrders.serves(role)
-                ? Optional.of(EngineRefusal.FULL)
+        return mRejecting || !mOrders.serves(role)
+                ? Optional.of(EngineRejection.FULL)
                 : Optional.empty();
     }
 
-    private void cutOff() {
+    private void cancelAll() {
         List<String> live =
                 Stream.concat(
                                 mPrefill.live().map(PrefillAttempt::id),
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineOrders.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineOrders.java
@@ -3,7 +3,7 @@
 import io.vavr.control.Either;
 import org.cyclamenpaddle.core.config.FencingSupport;
 
-/** What an engine was ordered to serve. */
+/** Service, model and role that an engine was last ordered to serve. */
 final class EngineOrders {
 
     private final EngineTimer mTimer;
@@ -36,25 +36,25 @@
             boolean busy,
             boolean servesUnordered) {}
 
-    /** Refusal of an order whose fencing number is older than {@code fence}. */
+    /** Rejection of an order whose fencing token is lower than the current {@code fence}. */
     record Stale(long fence) {}
 
-    /** Applies an order; {@code cutOff} runs first if it changes what is served. */
-    Either<Stale, State> apply(Order order, Runnable cutOff) {
+    /** Applies an order; runs {@code cancelAll} first if service, model or role change. */
+    Either<Stale, State> apply(Order order, Runnable cancelAll) {
         if (mSettings.fencing() == FencingSupport.HONOURS && order.fence() < mState.fence()) {
             return Either.left(new Stale(mState.fence()));
         }
-        boolean otherModel = !order.model().equals(mState.model());
-        boolean otherWork =
-                otherModel
+        boolean modelChanges = !order.model().equals(mState.model());
+        boolean assignmentChanges =
+                modelChanges
                         || !order.service().equals(mState.service())
                         || !order.role().equals(mState.role());
-        if (otherWork) {
-            cutOff.run();
+        if (assignmentChanges) {
+            cancelAll.run();
         }
-        boolean busy = otherModel ? !order.model().isEmpty() : mState.busy();
+        boolean busy = modelChanges ? !order.model().isEmpty() : mState.busy();
         mState = state(order.service(), order.model(), order.role(), order.fence(), busy);
-        if (otherModel) {
+        if (modelChanges) {
             long load = ++mLoads;
             long micros = EngineModel.micros(mSettings.modelLoadMillis());
             mTimer.schedule(micros, () -> loaded(load));
@@ -66,7 +66,7 @@
         return mState;
     }
 
-    /** Returns whether work of a role is taken: not while loading, nor in another role. */
+    /** Returns whether requests of a role are admitted: not while loading or in another role. */
     boolean serves(String role) {
         if (mState.busy()) {
             return false;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineRefusal.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineRejection.java
@@ -3,8 +3,8 @@
 import com.linecorp.armeria.common.HttpStatus;
 import java.util.Locale;
 
-/** Why an engine does not take work. */
-enum EngineRefusal {
+/** Reasons for which an engine rejects a request or an order. */
+enum EngineRejection {
     FULL(HttpStatus.SERVICE_UNAVAILABLE),
     CANCELLED(HttpStatus.CONFLICT),
     EXISTS(HttpStatus.CONFLICT),
@@ -13,7 +13,7 @@
 
     private final HttpStatus mStatus;
 
-    EngineRefusal(HttpStatus status) {
+    EngineRejection(HttpStatus status) {
         mStatus = status;
     }
 
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineRoutes.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineRoutes.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Engine protocol over HTTP. */
+/** HTTP routes of the engine protocol and of the fault switches. */
 final class EngineRoutes {
 
     private final EngineStandin mEngine;
@@ -23,7 +23,7 @@
         builder.decorator(
                 (delegate, ctx, req) ->
                         mEngine.silenced().silenced(ctx)
-                                ? Answers.never()
+                                ? JsonResponses.never()
                                 : delegate.serve(ctx, req));
         builder.route().post("/v1/prefill").build((ctx, req) -> prefill(ctx));
         builder.route().post("/v1/decode").build((ctx, req) -> decode(ctx));
@@ -33,62 +33,72 @@
         builder.route().get("/v1/attempts").build((ctx, req) -> attempts());
         builder.route()
                 .get("/v1/load")
-                .build((ctx, req) -> later(mEngine.ask(EngineModel::publishedLoad)));
+                .build((ctx, req) -> okWhenDone(mEngine.call(EngineModel::publishedLoad)));
         builder.route()
                 .get("/v1/cache-events")
                 .build(
                         (ctx, req) -> {
                             long after = ctx.queryParams().getLong("after", 0);
-                            return later(mEngine.ask(model -> model.cacheEvents(after)));
+                            return okWhenDone(mEngine.call(model -> model.cacheEvents(after)));
                         });
         builder.route()
                 .post("/v1/orders")
-                .build((ctx, req) -> Answers.withBody(ctx, EngineOrders.Order.class, this::order));
+                .build(
+                        (ctx, req) ->
+                                JsonResponses.withBody(ctx, EngineOrders.Order.class, this::order));
         builder.route()
                 .get("/v1/state")
-                .build((ctx, req) -> later(mEngine.ask(EngineModel::state)));
+                .build((ctx, req) -> okWhenDone(mEngine.call(EngineModel::state)));
         addSwitches(builder);
     }
 
     private void addSwitches(ServerBuilder builder) {
         builder.route()
                 .get("/standin/held")
-                .build((ctx, req) -> later(mEngine.ask(m -> Map.of("pieces", m.heldPieces()))));
-        builder.route().get("/standin/counts").build((ctx, req) -> Answers.ok(mEngine.counts()));
+                .build(
+                        (ctx, req) ->
+                                okWhenDone(mEngine.call(m -> Map.of("pieces", m.heldPieces()))));
+        builder.route()
+                .get("/standin/counts")
+                .build((ctx, req) -> JsonResponses.ok(mEngine.counts()));
         builder.route()
                 .get("/standin/settings")
-                .build((ctx, req) -> Answers.ok(mEngine.settings()));
+                .build((ctx, req) -> JsonResponses.ok(mEngine.settings()));
         builder.route()
                 .post("/standin/faults")
-                .build((ctx, req) -> Answers.withBody(ctx, EngineFaults.class, mEngine::apply));
+                .build(
+                        (ctx, req) ->
+                                JsonResponses.withBody(ctx, EngineFaults.class, mEngine::apply));
     }
 
     private HttpResponse prefill(ServiceRequestContext ctx) {
-        return Answers.withBody(
+        return JsonResponses.withBody(
                 ctx,
-                PrefillAsk.class,
-                ask -> {
-                    CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-                    mEngine.ask(
+                PrefillRequest.class,
+                request -> {
+                    CompletableFuture<HttpResponse> responseFuture = new CompletableFuture<>();
+                    mEngine.call(
                             model -> {
-                                model.prefill(ask, done -> answer.complete(prefilled(done)));
-                                return ask;
+                                model.prefill(
+                                        request,
+                                        result -> responseFuture.complete(prefilled(result)));
+                                return request;
                             });
-                    return HttpResponse.of(answer);
+                    return HttpResponse.of(responseFuture);
                 });
     }
 
     private HttpResponse decode(ServiceRequestContext ctx) {
-        return Answers.withBody(
+        return JsonResponses.withBody(
                 ctx,
-                DecodeAsk.class,
-                ask ->
+                DecodeRequest.class,
+                request ->
                         HttpResponse.of(
-                                mEngine.ask(
+                                mEngine.call(
                                         model ->
-                                                model.decode(ask)
+                                                model.decode(request)
                                                         .fold(
-                                                                EngineRoutes::refused,
+                                                                EngineRoutes::rejected,
                                                                 attempt ->
                                                                         open(ctx, attempt, 0)))));
     }
@@ -97,7 +107,7 @@
         String id = ctx.pathParam("attempt");
         int from = ctx.queryParams().getInt("from", 0);
         return HttpResponse.of(
-                mEngine.ask(
+                mEngine.call(
                         model ->
                                 model.decodeAttempt(id)
                                         .map(attempt -> open(ctx, attempt, from))
@@ -111,31 +121,32 @@
         return response;
     }
 
-    /** Answers when the export's last byte has passed; a caller that leaves aborts it. */
+    /** Responds when the last byte was exported; aborts the export if the client disconnects. */
     private HttpResponse export(ServiceRequestContext ctx) {
         String id = ctx.pathParam("attempt");
-        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        HttpResponse response = HttpResponse.of(answer);
-        mEngine.ask(
+        CompletableFuture<HttpResponse> responseFuture = new CompletableFuture<>();
+        HttpResponse response = HttpResponse.of(responseFuture);
+        mEngine.call(
                 model -> {
                     Optional<Runnable> abort =
-                            model.export(id, cache -> answer.complete(Answers.ok(cache)));
+                            model.export(
+                                    id, cache -> responseFuture.complete(JsonResponses.ok(cache)));
                     abort.ifPresentOrElse(
-                            action -> abortWithCaller(response, answer, action),
-                            () -> answer.complete(unknown(id)));
+                            action -> abortOnDisconnect(response, responseFuture, action),
+                            () -> responseFuture.complete(unknown(id)));
                     return id;
                 });
         return response;
     }
 
-    private void abortWithCaller(
-            HttpResponse response, CompletableFuture<HttpResponse> answer, Runnable abort) {
+    private void abortOnDisconnect(
+            HttpResponse response, CompletableFuture<HttpResponse> responseFuture, Runnable abort) {
         response.whenComplete()
                 .exceptionally(
-                        left -> {
-                            mEngine.ask(
+                        disconnected -> {
+                            mEngine.call(
                                     model -> {
-                                        if (!answer.isDone()) {
+                                        if (!responseFuture.isDone()) {
                                             abort.run();
                                         }
                                         return model;
@@ -146,11 +157,11 @@
 
     private HttpResponse cancel(ServiceRequestContext ctx) {
         if (mEngine.cancelsToLose().getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
-            return Answers.dropConnection(ctx);
+            return JsonResponses.dropConnection(ctx);
         }
         String id = ctx.pathParam("attempt");
-        return later(
-                mEngine.ask(
+        return okWhenDone(
+                mEngine.call(
                         model -> {
                             model.cancel(id);
                             return Map.of("heldPieces", 0);
@@ -158,33 +169,34 @@
     }
 
     private HttpResponse attempts() {
-        return later(mEngine.ask(model -> Map.of("attempts", model.attempts())));
+        return okWhenDone(mEngine.call(model -> Map.of("attempts", model.attempts())));
     }
 
     private HttpResponse order(EngineOrders.Order order) {
         return HttpResponse.of(
-                mEngine.ask(model -> model.order(order).fold(EngineRoutes::stale, Answers::ok)));
+                mEngine.call(
+                        model -> model.order(order).fold(EngineRoutes::stale, JsonResponses::ok)));
     }
 
-    private static HttpResponse prefilled(Either<EngineRefusal, PrefillDone> done) {
-        return done.fold(EngineRoutes::refused, Answers::ok);
+    private static HttpResponse prefilled(Either<EngineRejection, PrefillResponse> done) {
+        return done.fold(EngineRoutes::rejected, JsonResponses::ok);
     }
 
-    private static HttpResponse refused(EngineRefusal reason) {
-        return Answers.error(reason.status(), reason.code(), "refused: " + reason.code());
+    private static HttpResponse rejected(EngineRejection reason) {
+        return JsonResponses.error(reason.status(), reason.code(), "refused: " + reason.code());
     }
 
     private static HttpResponse stale(EngineOrders.Stale stale) {
-        return Answers.of(
-                EngineRefusal.STALE_FENCE.status(),
-                Map.of("reason", EngineRefusal.STALE_FENCE.code(), "fence", stale.fence()));
+        return JsonResponses.of(
+                EngineRejection.STALE_FENCE.status(),
+                Map.of("reason", EngineRejection.STALE_FENCE.code(), "fence", stale.fence()));
     }
 
     private static HttpResponse unknown(String attempt) {
-        return Answers.error(HttpStatus.NOT_FOUND, "unknown", "no attempt " + attempt);
+        return JsonResponses.error(HttpStatus.NOT_FOUND, "unknown", "no attempt " + attempt);
     }
 
-    private static <T> HttpResponse later(CompletableFuture<T> body) {
-        return HttpResponse.of(body.thenApply(Answers::ok));
+    private static <T> HttpResponse okWhenDone(CompletableFuture<T> body) {
+        return HttpResponse.of(body.thenApply(JsonResponses::ok));
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineSettings.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineSettings.java
@@ -6,31 +6,31 @@
 import java.util.Iterator;
 import java.util.Map;
 import org.cyclamenpaddle.core.config.FencingSupport;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
 /**
- * Sizes and timing of a modelled engine, in modelled time.
+ * Sizes and timing of a simulated engine, in modelled time.
  *
- * @param slots attempts decoded at once
- * @param pieces engine memory, in pieces of 4,096 tokens
- * @param cachePieces memory of the prefix cache, in the same pieces, on top of {@code pieces}
- * @param prefillTokensPerSecond prefill rate of uncached tokens
- * @param prefillBaseMillis fixed cost of each prefill, in milliseconds
- * @param tokenMillis decode step with one attempt, in milliseconds
- * @param batchSlope share by which each further attempt in the batch lengthens a step
- * @param answerTokens mean length of an answer that stops by itself; 0 if none does
- * @param kvBytesPerToken bytes of KV cache for each token
- * @param linkBytesPerSecond rate of the link that all exports share
- * @param resultMillis life of a prefill result that is not being exported, in milliseconds
- * @param keepMillis how long an ended attempt's events are kept, in milliseconds
- * @param loadLagMillis age of the published load, in milliseconds
- * @param cacheEventLagMillis age at which a cache event is published, in milliseconds
- * @param cacheEventLossEvery every how many cache events one is lost; 0 if none is
- * @param modelLoadMillis time an order takes to load another model, in milliseconds
- * @param fencing whether an order with an old fencing number is refused
- * @param requiresOrder whether an engine without a service refuses work
- * @param haltOnCrash whether a crash ends the whole process
- * @param speed by how much modelled time runs faster than the machine's clock
+ * @param slots decode slots, the maximum batch size
+ * @param pieces KV cache memory, in pages of 4,096 tokens
+ * @param cachePieces memory of the prefix cache, in pages, in addition to {@code pieces}
+ * @param prefillTokensPerSecond prefill throughput of uncached tokens
+ * @param prefillBaseMillis fixed overhead of each prefill, in milliseconds
+ * @param tokenMillis duration of a decode step with one attempt, in milliseconds
+ * @param batchSlope fraction of {@code tokenMillis} that each further attempt adds to a step
+ * @param answerTokens mean completion length; 0 if completions never stop before their limit
+ * @param kvBytesPerToken KV cache bytes per token
+ * @param linkBytesPerSecond bandwidth of the link that all exports share
+ * @param resultMillis time to live of a prefill result while it is not exported, in milliseconds
+ * @param keepMillis retention of the events of an ended attempt, in milliseconds
+ * @param loadLagMillis delay of the published load, in milliseconds
+ * @param cacheEventLagMillis delay until a cache event is published, in milliseconds
+ * @param cacheEventLossEvery every n-th cache event is lost; 0 if none is
+ * @param modelLoadMillis time to load another model after an order, in milliseconds
+ * @param fencing whether an order with a stale fencing token is rejected
+ * @param requiresOrder whether an engine that has received no order rejects requests
+ * @param haltOnCrash whether a crash halts the JVM
+ * @param speed factor by which modelled time runs faster than real time
  */
 public record EngineSettings(
         int slots,
@@ -54,7 +54,7 @@
         boolean haltOnCrash,
         double speed) {
 
-    /** An engine of today's size. */
+    /** Sizes and timing of a current engine. */
     public static final EngineSettings DEFAULT =
             new EngineSettings(
                     20,
@@ -81,42 +81,49 @@
     public EngineSettings {
         if (slots < 1 || pieces < 1 || cachePieces < 0) {
             throw new IllegalArgumentException(
-                    "bad engine size: slots " + slots + ", pieces " + pieces);
+                    "slots and pieces must be at least 1 and cachePieces at least 0: slots "
+                            + slots
+                            + ", pieces "
+                            + pieces);
         }
         if (prefillTokensPerSecond <= 0 || tokenMillis <= 0 || linkBytesPerSecond <= 0) {
             throw new IllegalArgumentException(
-                    "rates must be above 0: prefill "
+                    "rates must be positive: prefillTokensPerSecond "
                             + prefillTokensPerSecond
-                            + ", token ms "
+                            + ", tokenMillis "
                             + tokenMillis
-                            + ", link "
+                            + ", linkBytesPerSecond "
                             + linkBytesPerSecond);
         }
         if (answerTokens < 0) {
-            throw new IllegalArgumentException("answer tokens " + answerTokens + " are negative");
+            throw new IllegalArgumentException(
+                    "answerTokens " + answerTokens + " must not be negative");
         }
         if (speed <= 0) {
-            throw new IllegalArgumentException("speed " + speed + " must be above 0");
+            throw new IllegalArgumentException("speed " + speed + " must be positive");
         }
     }
 
     /**
-     * Reads settings from JSON; an absent member keeps its default, an unknown one is refused.
+     * Parses settings from JSON; an absent member has its default value, an unknown one is
+     * rejected.
      *
-     * @param json object whose members are named as this record's components
+     * @param json JSON object with the names of this record's components
+     * @throws IllegalArgumentException if the text is not JSON or a member is unknown
      */
     public static EngineSettings fromJson(String json) {
         try {
-            return fromTree(Answers.JSON.readTree(json));
+            return fromTree(JsonResponses.JSON.readTree(json));
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("engine settings: " + e.getOriginalMessage(), e);
+            throw new IllegalArgumentException(
+                    "cannot parse engine settings: " + e.getOriginalMessage(), e);
         }
     }
 
-    /** Reads settings as {@link #fromJson} does, from a parsed document. */
-    public static EngineSettings fromTree(JsonNode given) {
-        ObjectNode merged = Answers.JSON.valueToTree(DEFAULT);
-        Iterator<Map.Entry<String, JsonNode>> members = given.fields();
+    /** Reads settings from a parsed document, with the rules of {@link #fromJson}. */
+    public static EngineSettings fromTree(JsonNode document) {
+        ObjectNode merged = JsonResponses.JSON.valueToTree(DEFAULT);
+        Iterator<Map.Entry<String, JsonNode>> members = document.fields();
         while (members.hasNext()) {
             Map.Entry<String, JsonNode> member = members.next();
             if (!merged.has(member.getKey())) {
@@ -124,27 +131,27 @@
             }
             merged.set(member.getKey(), member.getValue());
         }
-        return Answers.JSON.convertValue(merged, EngineSettings.class);
+        return JsonResponses.JSON.convertValue(merged, EngineSettings.class);
     }
 
-    /** Returns these settings for an engine that has its process to itself and dies with it. */
+    /** Returns a copy for an engine in a process of its own, which a crash halts. */
     public EngineSettings haltingOnCrash() {
-        ObjectNode settings = Answers.JSON.valueToTree(this);
+        ObjectNode settings = JsonResponses.JSON.valueToTree(this);
         settings.put("haltOnCrash", true);
         return fromTree(settings);
     }
 
-    /** Returns the length of a decode step with {@code batch} attempts, in modelled ms. */
+    /** Returns the duration of a decode step for a batch size, in modelled milliseconds. */
     public double stepMillis(int batch) {
         return tokenMillis * (1 + batchSlope * (batch - 1));
     }
 
-    /** Returns the modelled duration of a machine duration, in milliseconds. */
-    public long modelled(long machineMillis) {
-        return (long) (machineMillis * speed);
+    /** Converts a real duration to a modelled duration, in milliseconds. */
+    public long modelled(long realMillis) {
+        return (long) (realMillis * speed);
     }
 
-    /** Returns the machine duration of a modelled duration, in milliseconds, at least 1. */
+    /** Converts a modelled duration to a real duration, in milliseconds, at least 1. */
     public long machine(long modelledMillis) {
         return Math.max(1, (long) (modelledMillis / speed));
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
@@ -10,11 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.cyclamenpaddle.standins.http.SilencedConnections;
 import org.cyclamenpaddle.standins.http.StandinServer;
 
-/** Engine stand-in: {@link EngineModel} behind the engine protocol, with fault switches. */
+/**
+ * Simulated engine that serves {@link EngineModel} over the engine protocol, with fault switches.
+ */
 public final class EngineStandin implements AutoCloseable {
 
     private static final int CRASH_EXIT_CODE = 1;
@@ -27,25 +29,25 @@
     private final EngineCounters mCounters = new EngineCounters();
     private final SilencedConnections mSilenced = new SilencedConnections();
     private final Set<EventStream> mStreams = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger mLoseCancels = new AtomicInteger();
+    private final AtomicInteger mCancelsToLose = new AtomicInteger();
     private final EngineRoutes mRoutes = new EngineRoutes(this);
     private final StandinServer mServer = new StandinServer(this::routes);
     private volatile long mRestartMillis = NO_RESTART;
     private ExecutorEngineTimer mTimer;
     private EngineModel mModel;
 
-    /** Creates an engine of the given sizes and timing. */
+    /** Creates an engine with the given sizes and timing. */
     public EngineStandin(EngineSettings settings) {
         mSettings = settings;
-        renew();
+        reset();
     }
 
-    /** Starts listening; {@code port} 0 takes any. */
+    /** Starts listening on {@code port}; 0 selects a free port. */
     public void start(int port) {
         mServer.start(port);
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the listening port. */
     public int port() {
         return mServer.port();
     }
@@ -56,57 +58,57 @@
         mServer.stop();
     }
 
-    /** Returns its sizes and timing. */
+    /** Returns the sizes and timing. */
     public EngineSettings settings() {
         return mSettings;
     }
 
-    /** Returns the memory pieces held by attempts. */
+    /** Returns the pages of KV cache memory allocated to attempts. */
     public int heldPieces() {
-        return ask(EngineModel::heldPieces).join();
+        return call(EngineModel::heldPieces).join();
     }
 
-    /** Returns what it did since it was created, over crashes too. */
+    /** Returns the counters since creation; crashes do not reset them. */
     public EngineCounts counts() {
         return mCounters.counts();
     }
 
-    /** Makes the next {@code transfers} exports never move a byte. */
+    /** Makes the next {@code transfers} exports stall without transferring any bytes. */
     public void stallTransfers(int transfers) {
-        tell(model -> model.stallTransfers(transfers));
+        execute(model -> model.stallTransfers(transfers));
     }
 
-    /** Silences for good the connections of all streams that are open now. */
+    /** Permanently stops traffic on the connections of all currently open streams. */
     public void silenceStreams() {
         mStreams.forEach(stream -> mSilenced.silence(stream.context()));
     }
 
-    /** Makes the next {@code cancels} have no effect and lose their connection. */
+    /** Makes the next {@code cancels} cancel requests have no effect and drop their connection. */
     public void loseCancels(int cancels) {
-        mLoseCancels.set(cancels);
+        mCancelsToLose.set(cancels);
     }
 
-    /** Refuses all new work as full, or stops doing so. */
-    public void rejectNewWork(boolean refusing) {
-        tell(model -> model.refuse(refusing));
+    /** Sets whether all new work is rejected as full. */
+    public void rejectNewWork(boolean rejecting) {
+        execute(model -> model.rejectNewWork(rejecting));
     }
 
-    /** Changes the age of the published load, in modelled milliseconds. */
+    /** Sets the delay of the published load, in modelled milliseconds. */
     public void loadLag(long millis) {
-        tell(model -> model.loadLag(millis));
+        execute(model -> model.loadLag(millis));
     }
 
-    /** Makes every later crash be followed by a restart after {@code millis}; -1 for none. */
+    /** Sets the delay of the restart after each later crash, in milliseconds; -1 for no restart. */
     public void restartAfterCrash(long millis) {
         mRestartMillis = millis;
     }
 
-    /** Drops all connections and state, as a crashed process does. */
+    /** Drops all connections and state, like the crash of a process. */
     public void crash() {
         CompletableFuture.runAsync(this::crashNow, mExecutor).join();
     }
 
-    /** Listens again, empty, on the same port after a crash. */
+    /** Starts listening again on the same port after a crash, without any state. */
     public void restart() {
         mServer.restart();
     }
@@ -116,15 +118,15 @@
     }
 
     AtomicInteger cancelsToLose() {
-        return mLoseCancels;
+        return mCancelsToLose;
     }
 
-    /** Asks the model, on its own thread. */
-    <T> CompletableFuture<T> ask(Function<EngineModel, T> question) {
-        return CompletableFuture.supplyAsync(() -> question.apply(mModel), mExecutor);
+    /** Applies a function to the model on the model's thread. */
+    <T> CompletableFuture<T> call(Function<EngineModel, T> function) {
+        return CompletableFuture.supplyAsync(() -> function.apply(mModel), mExecutor);
     }
 
-    /** Keeps a stream for {@link #silenceStreams} until it ends. */
+    /** Tracks a stream for {@link #silenceStreams} until it ends. */
     HttpResponse track(EventStream stream) {
         mStreams.add(stream);
         stream.response().whenComplete().handle((v, e) -> mStreams.remove(stream));
@@ -143,15 +145,15 @@
         if (faults.crash()) {
             mExecutor.execute(this::crashNow);
         }
-        return Answers.ok(faults);
+        return JsonResponses.ok(faults);
     }
 
     private void routes(ServerBuilder builder) {
         mRoutes.add(builder);
     }
 
-    private void tell(java.util.function.Consumer<EngineModel> order) {
-        CompletableFuture.runAsync(() -> order.accept(mModel), mExecutor).join();
+    private void execute(java.util.function.Consumer<EngineModel> action) {
+        CompletableFuture.runAsync(() -> action.accept(mModel), mExecutor).join();
     }
 
     private void crashNow() {
@@ -161,15 +163,15 @@
         mCounters.crashed();
         mTimer.close();
         mServer.stop();
-        mModel.lose();
-        renew();
+        mModel.discard();
+        reset();
         long restartMillis = mRestartMillis;
         if (restartMillis >= 0) {
             mExecutor.schedule(mServer::restart, restartMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void renew() {
+    private void reset() {
         mTimer = new ExecutorEngineTimer(mExecutor, mSettings.speed());
         mModel = new EngineModel(mTimer, mSettings, mFetcher, mCounters, this::crashNow);
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineTimer.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineTimer.java
@@ -1,15 +1,15 @@
 package org.cyclamenpaddle.standins.engine;
 
 /**
- * Time and scheduling of one engine model, in modelled time.
+ * Clock and scheduler of an engine model, in modelled time.
  *
- * <p>Tasks run one at a time, so the model needs no locks.
+ * <p>Tasks run sequentially, so the model needs no locks.
  */
 interface EngineTimer {
 
-    /** Returns the modelled microseconds passed since the timer's origin. */
+    /** Returns the modelled microseconds since the timer's origin. */
     long micros();
 
-    /** Runs {@code task} after {@code delayMicros} of modelled time. */
+    /** Schedules a task after a delay in modelled microseconds. */
     void schedule(long delayMicros, Runnable task);
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EventStream.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EventStream.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import org.cyclamenpaddle.standins.http.SilencedConnections;
 
-/** One answer that streams the events of a decode attempt. */
+/** Streaming HTTP response with the events of a decode attempt, as newline-delimited JSON. */
 final class EventStream implements Predicate<EngineEvent> {
 
     private static final MediaType NDJSON = MediaType.create("application", "x-ndjson");
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/ExecutorEngineTimer.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/ExecutorEngineTimer.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Modelled time that runs {@code speed} times as fast as the machine's clock. */
+/** Timer whose modelled time runs {@code speed} times as fast as real time. */
 final class ExecutorEngineTimer implements EngineTimer {
 
     private static final long NANOS_PER_MICRO = 1_000;
@@ -14,7 +14,7 @@
     private final long mOriginNanos = System.nanoTime();
     private volatile boolean mClosed;
 
-    /** Creates a timer whose tasks run on {@code executor}, which must have one thread. */
+    /** Creates a timer that runs tasks on {@code executor}, which must be single-threaded. */
     ExecutorEngineTimer(ScheduledExecutorService executor, double speed) {
         mExecutor = executor;
         mSpeed = speed;
@@ -31,12 +31,12 @@
         try {
             mExecutor.schedule(() -> run(task), nanos, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            // The stand-in was closed; what it had planned dies with it.
+            // The stand-in was closed; its tasks are discarded.
             return;
         }
     }
 
-    /** Drops what is scheduled; used when the model that scheduled it has crashed. */
+    /** Discards all scheduled tasks; called when the model that scheduled them has crashed. */
     void close() {
         mClosed = true;
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/HttpKvFetcher.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/HttpKvFetcher.java
@@ -8,9 +8,9 @@
 import io.vavr.control.Either;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Fetches prefill results by {@code GET /v1/export/{attempt}} on the source. */
+/** Fetches prefill results with {@code GET /v1/export/{attempt}} from the source engine. */
 final class HttpKvFetcher implements KvFetcher {
 
     private static final String EVICTED = "evicted";
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public Runnable fetch(DecodeAsk.Source source, Consumer<Either<String, KvCache>> done) {
+    public Runnable fetch(DecodeRequest.Source source, Consumer<Either<String, KvCache>> done) {
         String uri =
                 "http://"
                         + source.address()
@@ -33,25 +33,26 @@
                         + source.port()
                         + "/v1/export/"
                         + source.attempt();
-        HttpResponse response = mClient.get(uri);
-        response.aggregate()
-                .handle((answer, failure) -> failure == null ? parse(answer) : lost())
+        HttpResponse export = mClient.get(uri);
+        export.aggregate()
+                .handle((response, failure) -> failure == null ? parse(response) : lost())
                 .thenAcceptAsync(done, mExecutor);
-        return response::abort;
+        return export::abort;
     }
 
-    private static Either<String, KvCache> parse(AggregatedHttpResponse answer) {
-        if (!answer.status().equals(HttpStatus.OK)) {
+    private static Either<String, KvCache> parse(AggregatedHttpResponse response) {
+        if (!response.status().equals(HttpStatus.OK)) {
             return lost();
         }
         try {
-            return Either.right(Answers.JSON.readValue(answer.contentUtf8(), KvCache.class));
+            return Either.right(
+                    JsonResponses.JSON.readValue(response.contentUtf8(), KvCache.class));
         } catch (JsonProcessingException e) {
             return lost();
         }
     }
 
-    /** A source that is gone, or does not know the result, has lost it. */
+    /** Reports a source that is unreachable or does not have the result as an evicted result. */
     private static Either<String, KvCache> lost() {
         return Either.left(EVICTED);
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvCache.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvCache.java
@@ -1,11 +1,11 @@
 package org.cyclamenpaddle.standins.engine;
 
 /**
- * Exported prefill result: what the modelled KV cache stands for.
+ * Exported prefill result, which represents the KV cache of a prompt.
  *
  * @param hash hash of the prompt
- * @param tokens tokens of prompt and prior answer
- * @param bytes size of the modelled KV cache
+ * @param tokens tokens of the prompt and of the prior part of the completion
+ * @param bytes size of the simulated KV cache
  * @param crashes whether decoding it crashes the engine
  */
 record KvCache(long hash, int tokens, long bytes, boolean crashes) {}
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvFetcher.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvFetcher.java
@@ -9,9 +9,9 @@
     /**
      * Starts a fetch.
      *
-     * @param source where the result lies
-     * @param done gets the result, or the reason code of the failure; runs as a task of the model
-     * @return how to abort the fetch
+     * @param source engine and attempt that hold the result
+     * @param done receives the result or the reason code of a failure; runs as a task of the model
+     * @return aborts the fetch
      */
-    Runnable fetch(DecodeAsk.Source source, Consumer<Either<String, KvCache>> done);
+    Runnable fetch(DecodeRequest.Source source, Consumer<Either<String, KvCache>> done);
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/LaggedLoad.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/LaggedLoad.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Load as it was a fixed time ago. */
+/** Publishes the load with a fixed delay. */
 final class LaggedLoad {
 
     private final EngineTimer mTimer;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillAttempt.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillAttempt.java
@@ -6,39 +6,41 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.text.PromptText;
 
-/** One prefill from its acceptance to the end of its result. */
+/** Prefill attempt, from admission until its result is exported or evicted. */
 final class PrefillAttempt {
 
-    private final PrefillAsk mAsk;
-    private final long mOrder;
+    private final PrefillRequest mRequest;
+    private final long mSequence;
     private final List<Long> mHashes;
     private final int mTokens;
-    private final Consumer<Either<EngineRefusal, PrefillDone>> mAnswer;
+    private final Consumer<Either<EngineRejection, PrefillResponse>> mCallback;
     private int mCachedTokens;
     private long mStartMicros;
-    private long mEvictAtMicros;
-    private long mLifeLeftMicros;
+    private long mExpiresAtMicros;
+    private long mRemainingTimeToLiveMicros;
     private int mOpenExports;
 
     PrefillAttempt(
-            PrefillAsk ask, long order, Consumer<Either<EngineRefusal, PrefillDone>> answer) {
-        mAsk = ask;
-        mOrder = order;
-        mHashes = PromptText.blockHashes(ask.prompt());
-        mTokens = PromptText.tokens(ask.prompt()) + ask.prior().size();
-        mAnswer = answer;
+            PrefillRequest request,
+            long sequence,
+            Consumer<Either<EngineRejection, PrefillResponse>> callback) {
+        mRequest = request;
+        mSequence = sequence;
+        mHashes = PromptText.blockHashes(request.prompt());
+        mTokens = PromptText.tokens(request.prompt()) + request.prior().size();
+        mCallback = callback;
     }
 
     String id() {
-        return mAsk.attempt();
+        return mRequest.attempt();
     }
 
-    PrefillAsk ask() {
-        return mAsk;
+    PrefillRequest request() {
+        return mRequest;
     }
 
-    long order() {
-        return mOrder;
+    long sequence() {
+        return mSequence;
     }
 
     List<Long> hashes() {
@@ -73,27 +75,27 @@
         mStartMicros = micros;
     }
 
-    void answer(Either<EngineRefusal, PrefillDone> answer) {
-        mAnswer.accept(answer);
+    void complete(Either<EngineRejection, PrefillResponse> result) {
+        mCallback.accept(result);
     }
 
-    /** Sets the life left from {@code now} on. */
-    void live(long now, long lifeMicros) {
-        mEvictAtMicros = now + lifeMicros;
+    /** Sets the time to live, counted from {@code now}. */
+    void setTimeToLive(long now, long timeToLiveMicros) {
+        mExpiresAtMicros = now + timeToLiveMicros;
     }
 
-    boolean due(long now) {
-        return mOpenExports == 0 && now >= mEvictAtMicros;
+    boolean expired(long now) {
+        return mOpenExports == 0 && now >= mExpiresAtMicros;
     }
 
     void exportOpened(long now) {
         if (mOpenExports++ == 0) {
-            mLifeLeftMicros = Math.max(0, mEvictAtMicros - now);
+            mRemainingTimeToLiveMicros = Math.max(0, mExpiresAtMicros - now);
         }
     }
 
-    /** Returns the life left if no export is open any more, else -1. */
+    /** Returns the remaining time to live if no other export is open, else -1. */
     long exportClosed() {
-        return --mOpenExports == 0 ? mLifeLeftMicros : -1;
+        return --mOpenExports == 0 ? mRemainingTimeToLiveMicros : -1;
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillAsk.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillRequest.java
@@ -7,17 +7,16 @@
  *
  * @param attempt attempt id
  * @param prompt prompt text
- * @param prior tokens of the answer that were generated elsewhere
- * @param priority greater is served earlier
- * @param timeoutMillis longest wait before the computation starts, in machine milliseconds; 0 for
- *     no limit
+ * @param prior tokens of the completion that another engine generated
+ * @param priority requests of higher priority are served first
+ * @param timeoutMillis queue timeout, in real milliseconds; 0 for none
  */
-record PrefillAsk(
+record PrefillRequest(
         String attempt, String prompt, List<String> prior, int priority, long timeoutMillis) {
 
-    PrefillAsk {
+    PrefillRequest {
         if (attempt == null || prompt == null) {
-            throw new IllegalArgumentException("prefill needs an attempt and a prompt");
+            throw new IllegalArgumentException("prefill request must have an attempt and a prompt");
         }
         prior = prior == null ? List.of() : List.copyOf(prior);
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillUnit.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefillUnit.java
@@ -11,85 +11,86 @@
 import java.util.stream.Stream;
 import org.cyclamenpaddle.core.text.PromptText;
 
-/** Serial prefill computation, its queue, and the results that wait for export. */
+/** Prefill side of an engine: the queue, the serial computation and the results to export. */
 final class PrefillUnit {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final Comparator<PrefillAttempt> SERVICE_ORDER =
-            Comparator.<PrefillAttempt>comparingInt(attempt -> -attempt.ask().priority())
-                    .thenComparingLong(PrefillAttempt::order);
+            Comparator.<PrefillAttempt>comparingInt(attempt -> -attempt.request().priority())
+                    .thenComparingLong(PrefillAttempt::sequence);
 
     private final EngineTimer mTimer;
     private final EngineSettings mSettings;
-    private final MemoryPieces mMemory;
+    private final KvMemory mMemory;
     private final PrefixCache mCache;
     private final SharedLink mLink;
     private final EngineCounters mCounters;
-    private final EngineSignals mSignals;
+    private final EngineListener mListener;
     private final List<PrefillAttempt> mQueue = new ArrayList<>();
     private final Map<String, PrefillAttempt> mResults = new LinkedHashMap<>();
     private Optional<PrefillAttempt> mComputing = Optional.empty();
-    private long mOrder;
+    private long mNextSequence;
     private int mStallTransfers;
 
     PrefillUnit(
             EngineTimer timer,
             EngineSettings settings,
-            MemoryPieces memory,
+            KvMemory memory,
             PrefixCache cache,
             EngineCounters counters,
-            EngineSignals signals) {
+            EngineListener listener) {
         mTimer = timer;
         mSettings = settings;
         mMemory = memory;
         mCache = cache;
         mLink = new SharedLink(timer, settings.linkBytesPerSecond());
         mCounters = counters;
-        mSignals = signals;
+        mListener = listener;
     }
 
-    /** Takes a prefill; {@code answer} runs when it is computed or refused. */
-    void submit(PrefillAsk ask, Consumer<Either<EngineRefusal, PrefillDone>> answer) {
-        if (!CompletionText.begins(PromptText.hash(ask.prompt()), ask.prior())) {
-            answer.accept(Either.left(EngineRefusal.PRIOR_MISMATCH));
+    /** Queues a prefill request; {@code callback} runs when it is computed or rejected. */
+    void submit(
+            PrefillRequest request, Consumer<Either<EngineRejection, PrefillResponse>> callback) {
+        if (!CompletionText.isPrefix(PromptText.hash(request.prompt()), request.prior())) {
+            callback.accept(Either.left(EngineRejection.PRIOR_MISMATCH));
             return;
         }
-        PrefillAttempt attempt = new PrefillAttempt(ask, mOrder++, answer);
-        if (!mMemory.take(attempt.pieces())) {
-            answer.accept(Either.left(EngineRefusal.FULL));
+        PrefillAttempt attempt = new PrefillAttempt(request, mNextSequence++, callback);
+        if (!mMemory.tryAllocate(attempt.pieces())) {
+            callback.accept(Either.left(EngineRejection.FULL));
             return;
         }
         mCounters.attempt();
         attempt.cached(mCache.cachedTokens(attempt.hashes()));
         mQueue.add(attempt);
-        if (ask.timeoutMillis() > 0) {
-            long timeoutMicros = EngineModel.micros(mSettings.modelled(ask.timeoutMillis()));
-            mTimer.schedule(timeoutMicros, () -> dropQueued(attempt, EngineRefusal.FULL));
+        if (request.timeoutMillis() > 0) {
+            long timeoutMicros = EngineModel.micros(mSettings.modelled(request.timeoutMillis()));
+            mTimer.schedule(timeoutMicros, () -> rejectQueued(attempt, EngineRejection.FULL));
         }
-        mSignals.changed();
+        mListener.loadChanged();
         computeNext();
     }
 
-    boolean knows(String attempt) {
+    boolean contains(String attempt) {
         return live().anyMatch(a -> a.id().equals(attempt));
     }
 
-    /** Frees everything that an attempt holds; does nothing for an unknown one. */
+    /** Cancels an attempt and releases its memory; no-op if unknown. */
     void cancel(String id) {
         mQueue.stream()
                 .filter(attempt -> attempt.id().equals(id))
                 .findFirst()
-                .ifPresent(attempt -> dropQueued(attempt, EngineRefusal.CANCELLED));
-        mComputing.filter(attempt -> attempt.id().equals(id)).ifPresent(this::abandonComputing);
-        Optional.ofNullable(mResults.get(id)).ifPresent(this::waste);
+                .ifPresent(attempt -> rejectQueued(attempt, EngineRejection.CANCELLED));
+        mComputing.filter(attempt -> attempt.id().equals(id)).ifPresent(this::cancelComputing);
+        Optional.ofNullable(mResults.get(id)).ifPresent(this::evict);
     }
 
     /**
      * Starts the export of a result.
      *
-     * @param id attempt of the result
-     * @param done runs when the last byte has passed
-     * @return how to abort the export; empty if there is no such result
+     * @param id attempt id of the result
+     * @param done runs when the last byte was transferred
+     * @return aborts the export; empty if there is no such result
      */
     Optional<Runnable> export(String id, Consumer<KvCache> done) {
         return Optional.ofNullable(mResults.get(id)).map(attempt -> open(attempt, done));
@@ -119,8 +120,8 @@
         mComputing = Optional.of(next);
         next.cached(mCache.cachedTokens(next.hashes()));
         next.start(mTimer.micros());
-        if (EngineModel.crashes(next.ask().prompt())) {
-            mSignals.crash();
+        if (EngineModel.crashes(next.request().prompt())) {
+            mListener.crashed();
             return;
         }
         mTimer.schedule(costMicros(next), () -> computed(next));
@@ -140,49 +141,49 @@
         mCounters.prefilled(attempt.uncachedTokens());
         mCache.store(attempt.hashes());
         mResults.put(attempt.id(), attempt);
-        keep(attempt, EngineModel.micros(mSettings.resultMillis()));
-        attempt.answer(
+        scheduleEviction(attempt, EngineModel.micros(mSettings.resultMillis()));
+        attempt.complete(
                 Either.right(
-                        new PrefillDone(
+                        new PrefillResponse(
                                 attempt.id(),
                                 attempt.tokens(),
                                 attempt.cachedTokens(),
                                 attempt.pieces(),
                                 mSettings.machine(mSettings.resultMillis()))));
-        mSignals.changed();
+        mListener.loadChanged();
         computeNext();
     }
 
-    private void dropQueued(PrefillAttempt attempt, EngineRefusal reason) {
+    private void rejectQueued(PrefillAttempt attempt, EngineRejection reason) {
         if (mQueue.remove(attempt)) {
             release(attempt);
-            attempt.answer(Either.left(reason));
+            attempt.complete(Either.left(reason));
         }
     }
 
-    private void abandonComputing(PrefillAttempt attempt) {
+    private void cancelComputing(PrefillAttempt attempt) {
         mComputing = Optional.empty();
         double share = (mTimer.micros() - attempt.startMicros()) / (double) costMicros(attempt);
         long done = (long) (Math.min(1.0, share) * attempt.uncachedTokens());
         mCounters.prefilled(done);
         mCounters.wasted(done);
         release(attempt);
-        attempt.answer(Either.left(EngineRefusal.CANCELLED));
+        attempt.complete(Either.left(EngineRejection.CANCELLED));
         computeNext();
     }
 
-    private void keep(PrefillAttempt attempt, long lifeMicros) {
-        attempt.live(mTimer.micros(), lifeMicros);
-        mTimer.schedule(lifeMicros, () -> evictIfDue(attempt));
+    private void scheduleEviction(PrefillAttempt attempt, long timeToLiveMicros) {
+        attempt.setTimeToLive(mTimer.micros(), timeToLiveMicros);
+        mTimer.schedule(timeToLiveMicros, () -> evictIfExpired(attempt));
     }
 
-    private void evictIfDue(PrefillAttempt attempt) {
-        if (mResults.get(attempt.id()) == attempt && attempt.due(mTimer.micros())) {
-            waste(attempt);
+    private void evictIfExpired(PrefillAttempt attempt) {
+        if (mResults.get(attempt.id()) == attempt && attempt.expired(mTimer.micros())) {
+            evict(attempt);
         }
     }
 
-    private void waste(PrefillAttempt attempt) {
+    private void evict(PrefillAttempt attempt) {
         mResults.remove(attempt.id());
         mCounters.wasted(attempt.uncachedTokens());
         release(attempt);
@@ -190,7 +191,7 @@
 
     private void release(PrefillAttempt attempt) {
         mMemory.release(attempt.pieces());
-        mSignals.changed();
+        mListener.loadChanged();
     }
 
     private Runnable open(PrefillAttempt attempt, Consumer<KvCache> done) {
@@ -203,7 +204,7 @@
         SharedLink.Transfer transfer =
                 mLink.start(cache.bytes(), () -> exported(attempt, cache, done));
         return () -> {
-            mLink.stop(transfer);
+            mLink.cancel(transfer);
             abort(attempt);
         };
     }
@@ -216,14 +217,14 @@
     }
 
     private void abort(PrefillAttempt attempt) {
-        long lifeMicros = attempt.exportClosed();
-        if (lifeMicros >= 0 && mResults.get(attempt.id()) == attempt) {
-            keep(attempt, lifeMicros);
+        long timeToLiveMicros = attempt.exportClosed();
+        if (timeToLiveMicros >= 0 && mResults.get(attempt.id()) == attempt) {
+            scheduleEviction(attempt, timeToLiveMicros);
         }
     }
 
     private KvCache kvCache(PrefillAttempt attempt) {
-        String prompt = attempt.ask().prompt();
+        String prompt = attempt.request().prompt();
         long bytes = attempt.tokens() * mSettings.kvBytesPerToken();
         return new KvCache(
                 PromptText.hash(prompt),
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefixCache.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/PrefixCache.java
@@ -7,7 +7,7 @@
 import org.cyclamenpaddle.core.config.BackendSpec;
 import org.cyclamenpaddle.core.text.PromptText;
 
-/** Prefix cache by chained block hashes; the least recently used block goes first. */
+/** Prefix cache of chained block hashes that evicts the least recently used block first. */
 final class PrefixCache {
 
     private static final int BLOCKS_PER_PIECE =
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/SharedLink.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/SharedLink.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Link of limited rate; transfers under way share it equally. */
+/** Link of limited bandwidth that concurrent transfers share equally. */
 final class SharedLink {
 
     private static final double MICROS_PER_SECOND = 1_000_000.0;
@@ -13,14 +13,14 @@
     private final double mBytesPerMicro;
     private final List<Transfer> mTransfers = new ArrayList<>();
     private long mUpdatedMicros;
-    private long mPlan;
+    private long mScheduleVersion;
 
     SharedLink(EngineTimer timer, long bytesPerSecond) {
         mTimer = timer;
         mBytesPerMicro = bytesPerSecond / MICROS_PER_SECOND;
     }
 
-    /** One transfer under way. */
+    /** An active transfer. */
     static final class Transfer {
 
         private final Runnable mDone;
@@ -32,25 +32,25 @@
         }
     }
 
-    /** Starts a transfer; {@code done} runs when its last byte has passed. */
+    /** Starts a transfer; {@code done} runs when its last byte was transferred. */
     Transfer start(long bytes, Runnable done) {
         progress();
         Transfer transfer = new Transfer(bytes, done);
         mTransfers.add(transfer);
-        plan();
+        reschedule();
         return transfer;
     }
 
-    /** Ends a transfer early; does nothing if it has ended. */
-    void stop(Transfer transfer) {
+    /** Cancels a transfer; no-op if it has ended. */
+    void cancel(Transfer transfer) {
         progress();
         mTransfers.remove(transfer);
-        plan();
+        reschedule();
     }
 
     void clear() {
         mTransfers.clear();
-        mPlan++;
+        mScheduleVersion++;
     }
 
     private void progress() {
@@ -62,8 +62,8 @@
         mUpdatedMicros = now;
     }
 
-    private void plan() {
-        long plan = ++mPlan;
+    private void reschedule() {
+        long version = ++mScheduleVersion;
         mTransfers.stream()
                 .mapToDouble(transfer -> transfer.mBytesLeft)
                 .min()
@@ -71,12 +71,12 @@
                         least -> {
                             double micros = least * mTransfers.size() / mBytesPerMicro;
                             long delay = Math.max(0, (long) Math.ceil(micros));
-                            mTimer.schedule(delay, () -> finish(plan));
+                            mTimer.schedule(delay, () -> finish(version));
                         });
     }
 
-    private void finish(long plan) {
-        if (plan != mPlan) {
+    private void finish(long version) {
+        if (version != mScheduleVersion) {
             return;
         }
         progress();
@@ -85,7 +85,7 @@
                         .filter(transfer -> transfer.mBytesLeft < 1)
                         .collect(Collectors.toList());
         mTransfers.removeAll(ended);
-        plan();
+        reschedule();
         ended.forEach(transfer -> transfer.mDone.run());
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Engine with modelled timing: prefill, export, decode, prefix cache and orders. */
+/** Simulated engine: prefill, KV cache export, decode, prefix cache and fenced orders. */
 package org.cyclamenpaddle.standins.engine;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/Answers.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/JsonResponses.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** JSON bodies, error bodies and lost answers. */
-public final class Answers {
+/** Factory of JSON responses, error responses and lost responses. */
+public final class JsonResponses {
 
-    /** JSON codec of all stand-ins; ignores unknown members. */
+    /** JSON mapper of all stand-ins; ignores unknown members. */
     public static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    private Answers() {}
+    private JsonResponses() {}
 
     /** Returns 200 with {@code body} as JSON. */
     public static HttpResponse ok(Object body) {
@@ -34,7 +34,7 @@
         return HttpResponse.of(status, MediaType.JSON_UTF_8, HttpData.ofUtf8(write(body)));
     }
 
-    /** Returns an error body with a reason code and a sentence. */
+    /** Returns an error response with a reason code and a detail message. */
     public static HttpResponse error(HttpStatus status, String reason, String detail) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("reason", reason);
@@ -43,20 +43,20 @@
     }
 
     /**
-     * Reads the request's JSON body and answers by {@code handler}; 400 for a bad body.
+     * Parses the JSON body of a request and handles it; responds with 400 if it cannot be parsed.
      *
      * @param ctx the request
      * @param type type of the body
-     * @param handler makes the answer, on the request's event loop
+     * @param handler creates the response, on the event loop of the request
      */
     public static <T> HttpResponse withBody(
             ServiceRequestContext ctx, Class<T> type, Function<T, HttpResponse> handler) {
-        CompletableFuture<HttpResponse> answer =
-                ctx.request().aggregate().thenApply(request -> parsed(request, type, handler));
-        return HttpResponse.of(answer);
+        CompletableFuture<HttpResponse> response =
+                ctx.request().aggregate().thenApply(request -> handleBody(request, type, handler));
+        return HttpResponse.of(response);
     }
 
-    /** Closes the request's connection without an answer. */
+    /** Closes the connection of a request without a response. */
     public static HttpResponse dropConnection(ServiceRequestContext ctx) {
         ctx.log()
                 .whenAvailable(RequestLogProperty.SESSION)
@@ -64,21 +64,21 @@
         return never();
     }
 
-    /** Returns a response that never comes. */
+    /** Returns a response that never completes. */
     public static HttpResponse never() {
         return HttpResponse.of(new CompletableFuture<>());
     }
 
-    /** Returns {@code value} as JSON text. */
+    /** Serializes {@code value} to JSON. */
     public static String write(Object value) {
         try {
             return JSON.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not JSON: " + value, e);
+            throw new IllegalArgumentException("cannot serialize to JSON: " + value, e);
         }
     }
 
-    private static <T> HttpResponse parsed(
+    private static <T> HttpResponse handleBody(
             AggregatedHttpRequest request, Class<T> type, Function<T, HttpResponse> handler) {
         T body;
         try {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/OpenConnections.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/OpenConnections.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Connections of one server, which can be dropped as a crash drops them. Thread-safe. */
+/** Tracks the connections of a server and can close them abruptly, like a crash. Thread-safe. */
 final class OpenConnections {
 
     private final Set<Channel> mChannels = ConcurrentHashMap.newKeySet();
@@ -15,7 +15,7 @@
         channel.closeFuture().addListener(f -> mChannels.remove(channel));
     }
 
-    /** Drops all connections; returns when they are closed. */
+    /** Closes all connections and waits until they are closed. */
     void dropAll() {
         CompletableFuture.allOf(
                         mChannels.stream()
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Closes a connection past its handlers, which would wait for the streams in it to end.
+     * Closes a connection bypassing its channel handlers, which would wait for open streams to end.
      *
      * @return completes when the socket is closed
      */
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/SilencedConnections.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/SilencedConnections.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Connections that stay open but carry nothing any more. */
+/** Connections that stay open but transfer no more data. */
 public final class SilencedConnections {
 
     private final Set<Channel> mSilenced = ConcurrentHashMap.newKeySet();
 
-    /** Silences the connection of a request for good. */
+    /** Permanently silences the connection of a request. */
     public void silence(ServiceRequestContext ctx) {
         channel(ctx)
                 .ifPresent(
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/StandinServer.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/StandinServer.java
@@ -11,17 +11,17 @@
 import java.util.function.Consumer;
 
 /**
- * Loopback HTTP server that can be stopped abruptly and started again on the same port.
+ * Loopback HTTP server that can be stopped abruptly and restarted on the same port.
  *
- * <p>All servers of a process share one small group of event loops.
+ * <p>All servers of a process share one event loop group.
  */
 public final class StandinServer {
 
     private static final String LOOPBACK = "127.0.0.1";
     private static final int EVENT_LOOPS = 4;
     private static final long MAX_REQUEST_BYTES = 8L << 20;
-    private static final int RESTART_TRIES = 500;
-    private static final long RESTART_PAUSE_NANOS = 10_000_000;
+    private static final int MAX_RESTART_ATTEMPTS = 500;
+    private static final long RESTART_RETRY_DELAY_NANOS = 10_000_000;
     private static final EventLoopGroup WORKERS =
             EventLoopGroups.newEventLoopGroup(EVENT_LOOPS, "standin", true);
 
@@ -31,9 +31,9 @@
     private int mPort;
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server without starting it.
      *
-     * @param routes adds the services, once for each start
+     * @param routes adds the services; called at each start
      */
     public StandinServer(Consumer<ServerBuilder> routes) {
         mRoutes = routes;
@@ -42,7 +42,7 @@
     /**
      * Starts listening on loopback.
      *
-     * @param port TCP port; 0 for any
+     * @param port TCP port; 0 selects a free port
      */
     public synchronized void start(int port) {
         Server server = build(port);
@@ -51,28 +51,28 @@
         mPort = server.activeLocalPort();
     }
 
-    /** Returns the port of the last start. */
+    /** Returns the port of the most recent start. */
     public synchronized int port() {
         return mPort;
     }
 
-    /** Stops listening and drops all connections at once; does nothing if stopped. */
+    /** Stops listening and closes all connections immediately; no-op if stopped. */
     public synchronized void stop() {
-        // The server's own stop goes on for seconds after its port is free; it isn't awaited, so
-        // that a crash looks as abrupt as that of a process.
+        // The server's own shutdown continues for seconds after its port is free. It is not
+        // awaited, so that the stop is as abrupt as the crash of a process.
         mServer.ifPresent(Server::stop);
         mServer = Optional.empty();
         mConnections.dropAll();
     }
 
     /**
-     * Starts listening again on the port of the last start; does nothing if it listens.
+     * Starts listening again on the port of the most recent start; no-op if listening.
      *
      * @throws IllegalStateException if the port is not free within some seconds
      */
     public synchronized void restart() {
-        for (int i = 0; mServer.isEmpty() && i < RESTART_TRIES; i++) {
-            Try.run(() -> start(mPort)).onFailure(inUse -> pause());
+        for (int i = 0; mServer.isEmpty() && i < MAX_RESTART_ATTEMPTS; i++) {
+            Try.run(() -> start(mPort)).onFailure(inUse -> awaitRetryDelay());
         }
         if (mServer.isEmpty()) {
             throw new IllegalStateException("port " + mPort + " is still in use");
@@ -93,8 +93,8 @@
         return builder.build();
     }
 
-    /** The port of a server that is stopping becomes free a moment after its stop was asked. */
-    private static void pause() {
-        LockSupport.parkNanos(RESTART_PAUSE_NANOS);
+    /** Waits before a retry, since the port of a stopping server is released with a short delay. */
+    private static void awaitRetryDelay() {
+        LockSupport.parkNanos(RESTART_RETRY_DELAY_NANOS);
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP plumbing that the stand-ins share. */
+/** HTTP server and response support shared by the stand-ins. */
 package org.cyclamenpaddle.standins.http;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/ArrivalPlan.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/ArrivalPlan.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.cyclamenpaddle.standins.deployment.WorkloadShape;
 
-/** Open-loop arrivals with exponential interarrival times; the same seed gives the same plan. */
+/** Generates open-loop arrivals with exponential interarrival times, reproducible by their seed. */
 final class ArrivalPlan {
 
     private static final double MICROS_PER_SECOND = 1_000_000;
@@ -15,24 +15,24 @@
     private ArrivalPlan() {}
 
     /**
-     * Plans a run.
+     * Generates the requests of a run.
      *
-     * @param shape shape of the requests
-     * @param perSecond mean arrivals for each modelled second
-     * @param seconds length of the run, in modelled seconds
-     * @param seed seed of all that is drawn
+     * @param shape workload shape of the requests
+     * @param perSecond mean arrival rate per modelled second
+     * @param seconds duration of the run, in modelled seconds
+     * @param seed seed of all random choices
      */
     static List<PlannedRequest> of(
             WorkloadShape shape, double perSecond, double seconds, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        PromptSource prompts = new PromptSource(shape, random);
-        ZigguratSampler.Exponential gaps =
+        PromptGenerator prompts = new PromptGenerator(shape, random);
+        ZigguratSampler.Exponential intervals =
                 ZigguratSampler.Exponential.of(random, MICROS_PER_SECOND / perSecond);
         List<PlannedRequest> plan = new ArrayList<>();
-        double at = gaps.sample();
+        double at = intervals.sample();
         while (at < seconds * MICROS_PER_SECOND) {
             plan.add(new PlannedRequest((long) at, prompts.team(), prompts.prompt()));
-            at += gaps.sample();
+            at += intervals.sample();
         }
         return plan;
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CallOutcome.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CallOutcome.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** How a call ended, as its caller sees it. */
+/** Outcome of a call as its caller observes it. */
 enum CallOutcome {
-    /** The whole answer to its own prompt, in order, once. */
+    /** The complete response to the call's own prompt, in order and without duplicates. */
     WHOLE,
-    /** Another text than the answer to its prompt, or too short an answer said to be whole. */
+    /** Text that differs from the prompt's completion, or a truncated one marked as finished. */
     WRONG,
-    /** Some part of the answer came twice. */
+    /** Part of the completion was received twice. */
     DUPLICATED,
-    /** A part of the answer, and an error instead of the rest. */
+    /** Part of the completion, followed by an error or by the end of the stream. */
     CUT_OFF,
-    /** A problem document instead of an answer. */
+    /** Rejected with a problem document. */
     REFUSED,
-    /** Neither an answer nor a problem document: the connection failed. */
+    /** The connection failed before the response was finished. */
     LOST;
 
     String code() {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CallResult.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CallResult.java
@@ -3,11 +3,11 @@
 /**
  * Result of one call.
  *
- * @param outcome how it ended
- * @param reason reason code of a refusal or error; empty if none
- * @param firstTokenMicros time to first token, in modelled microseconds; 0 if none came
- * @param meanGapMicros mean time between tokens, in modelled microseconds; 0 below two tokens
- * @param tokens tokens received
+ * @param outcome outcome
+ * @param reason reason code of a rejection or error; empty if none
+ * @param firstTokenMicros time to first token, in modelled microseconds; 0 without tokens
+ * @param meanGapMicros mean inter-token latency, in modelled microseconds; 0 below two tokens
+ * @param tokens verified tokens received
  */
 record CallResult(
         CallOutcome outcome,
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CompletionCall.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CompletionCall.java
@@ -11,18 +11,18 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.reactivestreams.Subscriber;
 import org.reactivestreams.Subscription;
 
-/** Reads one streamed completion, times its tokens and checks its text. */
+/** Reads one streamed completion, records its token latencies and verifies its text. */
 final class CompletionCall implements Subscriber<HttpObject> {
 
     private static final String DATA = "data: ";
     private static final String ERROR = "event: error";
     private static final String DONE = "[DONE]";
 
-    private final AnswerCheck mCheck;
+    private final CompletionVerifier mVerifier;
     private final LatencyRecorder mLatencies;
     private final LongSupplier mMicros;
     private final long mSentMicros;
@@ -37,14 +37,14 @@
     private int mTimedTokens;
 
     /**
-     * Creates a call that is sent now.
+     * Creates a call; its latencies are measured from now on.
      *
-     * @param check check of its answer
-     * @param latencies takes its latencies
-     * @param micros modelled time
+     * @param verifier verifies the completion
+     * @param latencies records the token latencies
+     * @param micros clock of modelled time, in microseconds
      */
-    CompletionCall(AnswerCheck check, LatencyRecorder latencies, LongSupplier micros) {
-        mCheck = check;
+    CompletionCall(CompletionVerifier verifier, LatencyRecorder latencies, LongSupplier micros) {
+        mVerifier = verifier;
         mLatencies = latencies;
         mMicros = micros;
         mSentMicros = micros.getAsLong();
@@ -64,7 +64,7 @@
         if (object instanceof ResponseHeaders headers) {
             mStreaming |= headers.status().equals(HttpStatus.OK);
         } else if (object instanceof HttpData data) {
-            data(data);
+            onData(data);
         }
     }
 
@@ -78,7 +78,7 @@
         if (!mStreaming) {
             finish(CallOutcome.REFUSED, reason(mProblem.toString()));
         } else {
-            finish(mCheck.outcome(), mError.orElse(""));
+            finish(mVerifier.outcome(), mError.orElse(""));
         }
     }
 
@@ -86,17 +86,17 @@
         int gaps = mTimedTokens - 1;
         long meanGap = gaps > 0 ? (mLastMicros - mFirstMicros) / gaps : 0;
         long first = mTimedTokens > 0 ? mFirstMicros - mSentMicros : 0;
-        mResult.complete(new CallResult(outcome, reason, first, meanGap, mCheck.tokens()));
+        mResult.complete(new CallResult(outcome, reason, first, meanGap, mVerifier.tokens()));
     }
 
-    private void data(HttpData data) {
+    private void onData(HttpData data) {
         if (!mStreaming) {
             mProblem.append(data.toStringUtf8());
             return;
         }
         for (byte b : data.array()) {
             if (b == '\n') {
-                line(mLine.toString(StandardCharsets.UTF_8));
+                onLine(mLine.toString(StandardCharsets.UTF_8));
                 mLine.reset();
             } else {
                 mLine.write(b);
@@ -104,32 +104,32 @@
         }
     }
 
-    private void line(String line) {
+    private void onLine(String line) {
         if (line.equals(ERROR)) {
             mErrorFollows = true;
         } else if (line.startsWith(DATA)) {
-            event(line.substring(DATA.length()));
+            onEvent(line.substring(DATA.length()));
         }
     }
 
-    private void event(String data) {
+    private void onEvent(String data) {
         if (mErrorFollows) {
             mError = Optional.of(reason(data));
         } else if (data.equals(DONE)) {
-            mCheck.done();
+            mVerifier.onDone();
         } else {
-            text(parse(data).path("choices").path(0).path("text").asText());
+            onText(parse(data).path("choices").path(0).path("text").asText());
         }
     }
 
-    private void text(String text) {
+    private void onText(String text) {
         if (!text.isEmpty()) {
-            time();
+            recordLatency();
         }
-        mCheck.text(text);
+        mVerifier.onText(text);
     }
 
-    private void time() {
+    private void recordLatency() {
         long now = mMicros.getAsLong();
         if (mTimedTokens == 0) {
             mFirstMicros = now;
@@ -147,9 +147,9 @@
 
     private static JsonNode parse(String text) {
         try {
-            return Answers.JSON.readTree(text);
+            return JsonResponses.JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            return Answers.JSON.createObjectNode();
+            return JsonResponses.JSON.createObjectNode();
         }
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CompletionSender.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CompletionSender.java
@@ -10,9 +10,9 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 import org.cyclamenpaddle.standins.deployment.Deployment;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Sends completions to the entry hosts in turn, as the platform's balancer does. */
+/** Sends completion requests to the entry hosts in round-robin order, as the load balancer does. */
 final class CompletionSender {
 
     private static final int MAX_TOKENS_PER_MEAN = 2;
@@ -23,15 +23,15 @@
     private final List<WebClient> mEntries;
     private final LatencyRecorder mLatencies;
     private final LongSupplier mMicros;
-    private int mTurn;
+    private int mNextEntry;
 
     /**
      * Creates a sender.
      *
-     * @param options run to send for
-     * @param answerTokens mean answer length that the engines are set to
-     * @param latencies takes the latencies of all calls
-     * @param micros modelled time
+     * @param options options of the run
+     * @param answerTokens mean completion length configured on the engines
+     * @param latencies records the latencies of all calls
+     * @param micros clock of modelled time, in microseconds
      */
     CompletionSender(
             LoadOptions options, int answerTokens, LatencyRecorder latencies, LongSupplier micros) {
@@ -48,7 +48,8 @@
     /** Sends a request; the result never completes exceptionally. */
     CompletableFuture<CallResult> send(PlannedRequest request) {
         int maxTokens = MAX_TOKENS_PER_MEAN * mDeployment.workload().answerTokens();
-        AnswerCheck check = new AnswerCheck(request.prompt(), mAnswerTokens, maxTokens);
+        CompletionVerifier verifier =
+                new CompletionVerifier(request.prompt(), mAnswerTokens, maxTokens);
         HttpRequest http =
                 HttpRequest.builder()
                         .method(HttpMethod.POST)
@@ -56,13 +57,13 @@
                         .header("X-Team", request.team())
                         .content(MediaType.JSON, body(request, maxTokens))
                         .build();
-        CompletionCall call = new CompletionCall(check, mLatencies, mMicros);
-        mEntries.get(mTurn++ % mEntries.size()).execute(http).subscribe(call);
+        CompletionCall call = new CompletionCall(verifier, mLatencies, mMicros);
+        mEntries.get(mNextEntry++ % mEntries.size()).execute(http).subscribe(call);
         return call.result();
     }
 
     private String body(PlannedRequest request, int maxTokens) {
-        ObjectNode body = Answers.JSON.createObjectNode();
+        ObjectNode body = JsonResponses.JSON.createObjectNode();
         body.put("model", mDeployment.modelService());
         body.put("prompt", request.prompt());
         body.put("max_tokens", maxTokens);
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/AnswerCheck.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/CompletionVerifier.java
@@ -3,8 +3,8 @@
 import org.cyclamenpaddle.core.text.PromptText;
 import org.cyclamenpaddle.standins.engine.CompletionText;
 
-/** Compares a streamed answer with the one that engines give to its prompt. */
-final class AnswerCheck {
+/** Verifies a streamed completion against the one that engines generate for its prompt. */
+final class CompletionVerifier {
 
     private static final String TOKEN_END = "(?<= )";
 
@@ -16,30 +16,31 @@
     private boolean mDone;
 
     /**
-     * Creates a check.
+     * Creates a verifier.
      *
      * @param prompt the prompt
-     * @param meanTokens mean answer length that the engines are set to; 0 if none stops by itself
-     * @param maxTokens most tokens asked for
+     * @param meanTokens mean completion length configured on the engines; 0 if completions never
+     *     stop before their limit
+     * @param maxTokens maximum number of tokens requested
      */
-    AnswerCheck(String prompt, int meanTokens, int maxTokens) {
+    CompletionVerifier(String prompt, int meanTokens, int maxTokens) {
         mHash = PromptText.hash(prompt);
         mLength = Math.min(maxTokens, CompletionText.length(mHash, meanTokens));
     }
 
-    /** Takes the next piece of text. */
-    void text(String text) {
+    /** Verifies the next chunk of text. */
+    void onText(String text) {
         if (text.isEmpty()) {
             return;
         }
         mDuplicated |= mDone;
         for (String token : text.split(TOKEN_END)) {
-            token(token);
+            onToken(token);
         }
     }
 
-    /** Takes the mark that the answer is whole. */
-    void done() {
+    /** Records the marker that the completion is finished. */
+    void onDone() {
         mDuplicated |= mDone;
         mDone = true;
     }
@@ -48,7 +49,7 @@
         return mTokens;
     }
 
-    /** Returns how the call ended, if its connection ended properly now. */
+    /** Returns the outcome of the call, assuming that its connection has closed normally. */
     CallOutcome outcome() {
         if (mDuplicated) {
             return CallOutcome.DUPLICATED;
@@ -59,8 +60,8 @@
         return mDone ? CallOutcome.WHOLE : CallOutcome.CUT_OFF;
     }
 
-    /** Only the first deviation tells its kind; what follows it is shifted. */
-    private void token(String token) {
+    /** Classifies the first deviation only, since all later tokens are shifted by it. */
+    private void onToken(String token) {
         if (mWrong || mDuplicated) {
             return;
         }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/RunnerKiller.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/EngineKiller.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Crashes a randomly drawn engine at a fixed interval; each comes back empty. */
-final class RunnerKiller {
+/** Crashes a random engine at a fixed interval; each restarts without state. */
+final class EngineKiller {
 
     private static final long RESTART_MILLIS = 3_000;
     private static final double MICROS_PER_MILLI = 1_000;
@@ -18,13 +18,15 @@
     private final UniformRandomProvider mRandom;
     private final AtomicLong mKills = new AtomicLong();
 
-    RunnerKiller(List<EngineProbe> engines, double speed, long seed) {
+    EngineKiller(List<EngineProbe> engines, double speed, long seed) {
         mEngines = engines;
         mSpeed = speed;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(~seed);
     }
 
-    /** Starts; stops with the executor. {@code everyMillis} is modelled time. */
+    /**
+     * Starts crashing engines every {@code everyMillis} of modelled time, until executor shutdown.
+     */
     void start(ScheduledExecutorService executor, long everyMillis) {
         long micros = (long) (everyMillis * MICROS_PER_MILLI / mSpeed);
         executor.scheduleAtFixedRate(this::kill, micros, micros, TimeUnit.MICROSECONDS);
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/EngineProbe.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/EngineProbe.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import org.cyclamenpaddle.standins.engine.EngineCounts;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Reads and switches one engine stand-in over HTTP. */
+/** Client of one engine stand-in that reads its counters and sets its faults. */
 final class EngineProbe {
 
     private final WebClient mClient;
 
-    /** Creates a probe of the engine at {@code address}, as {@code host:port}. */
+    /** Creates a client of the engine at {@code address}, as {@code host:port}. */
     EngineProbe(String address) {
         mClient = WebClient.of("http://" + address);
     }
@@ -35,13 +35,13 @@
         return read("/standin/held", Held.class).pieces();
     }
 
-    /** Crashes the engine; it comes back empty after {@code restartMillis}. */
+    /** Crashes the engine, which restarts without state after {@code restartMillis}. */
     void crash(long restartMillis) {
-        // The connection dies with the engine, so the answer is not waited for.
+        // The crash closes the connection, so a failed response is ignored.
         switches(Map.of("crash", true, "restartMillis", restartMillis));
     }
 
-    /** Sets the age of the engine's published load, in modelled milliseconds. */
+    /** Sets the delay of the engine's published load, in modelled milliseconds. */
     void loadLag(long millis) {
         switches(Map.of("loadLagMillis", millis)).get();
     }
@@ -49,16 +49,20 @@
     private Try<String> switches(Map<String, Object> faults) {
         HttpRequest request =
                 HttpRequest.of(
-                        HttpMethod.POST, "/standin/faults", MediaType.JSON, Answers.write(faults));
+                        HttpMethod.POST,
+                        "/standin/faults",
+                        MediaType.JSON,
+                        JsonResponses.write(faults));
         return Try.of(() -> mClient.execute(request).aggregate().join().contentUtf8());
     }
 
     private <T> T read(String path, Class<T> type) {
         String body = get(path);
         try {
-            return Answers.JSON.readValue(body, type);
+            return JsonResponses.JSON.readValue(body, type);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not an engine stand-in: " + path, e);
+            throw new IllegalArgumentException(
+                    "unexpected response, not from an engine stand-in: " + path, e);
         }
     }
 
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/EntryProbe.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/EntryProbe.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Reads the metrics pages of all entry hosts. */
+/** Reads the metrics of all entry hosts. */
 final class EntryProbe {
 
     private static final String REFUSALS = "cyclamenpaddle_refusals_total";
@@ -14,7 +14,7 @@
 
     private final List<WebClient> mClients;
 
-    /** Creates a probe of entry hosts, each as {@code host:port}. */
+    /** Creates a client of entry hosts, each as {@code host:port}. */
     EntryProbe(List<String> addresses) {
         mClients =
                 addresses.stream()
@@ -22,7 +22,7 @@
                         .collect(Collectors.toList());
     }
 
-    /** Counters of all entry hosts together. */
+    /** Counters summed over all entry hosts. */
     record Counts(ReasonCounts refusals, ReasonCounts retries) {
 
         Counts since(Counts earlier) {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadOptions.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadOptions.java
@@ -13,17 +13,17 @@
 /**
  * Options of a load run.
  *
- * @param deployment deployment whose shape and targets are used
+ * @param deployment deployment that defines the workload shape and the latency targets
  * @param entries entry hosts, each as {@code host:port}
  * @param engines engine stand-ins, each as {@code host:port}
- * @param load offered share of the decode pool's capacity
- * @param seconds length of the arrivals, in modelled seconds
- * @param speed by how much modelled time runs faster than the machine's clock
- * @param seed seed of the arrivals, the prompts and the kills
- * @param policy label of what is compared
- * @param out directory for the summary
- * @param killEveryMillis modelled time between crashes of an engine; empty for none
- * @param loadLagMillis age of the engines' published load; empty to leave it
+ * @param load offered load, as a share of the decode pool's capacity
+ * @param seconds duration of the arrivals, in modelled seconds
+ * @param speed factor by which modelled time runs faster than real time
+ * @param seed seed of the arrivals, prompts and engine crashes
+ * @param policy label of the compared variant
+ * @param out output directory of the summary
+ * @param killEveryMillis interval of engine crashes, in modelled milliseconds; empty for none
+ * @param loadLagMillis delay of the engines' published load; empty to leave it unchanged
  */
 public record LoadOptions(
         Deployment deployment,
@@ -61,14 +61,14 @@
                             + seconds
                             + " and speed "
                             + speed
-                            + " must be above 0");
+                            + " must be positive");
         }
         if (killEveryMillis.filter(millis -> millis <= 0).isPresent()) {
-            throw new IllegalArgumentException("time between kills must be above 0 ms");
+            throw new IllegalArgumentException("interval of engine crashes must be positive");
         }
     }
 
-    /** Returns the options that {@link #parse} reads. */
+    /** Returns the command line options that {@link #parse} reads. */
     public static Options commandLine() {
         return new Options()
                 .addOption(required(DEPLOYMENT, "NAME"))
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Reads the options from a command line.
+     * Parses the options from a command line.
      *
-     * @throws IllegalArgumentException if a value is not allowed
+     * @throws IllegalArgumentException if a value is invalid
      */
     public static LoadOptions parse(CommandLine line) {
         String deployment = line.getOptionValue(DEPLOYMENT);
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadRun.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadRun.java
@@ -15,32 +15,32 @@
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.cyclamenpaddle.standins.report.RunSummary;
 
-/** One load run: sends a plan, waits for every answer, and sums up. */
+/** Load run that sends the planned requests, awaits every response and summarizes the results. */
 public final class LoadRun {
 
     private static final EngineCounts NO_COUNTS = new EngineCounts(0, 0, 0, 0, 0, 0);
     private static final double NANOS_PER_MICRO = 1_000;
-    private static final int HELD_TRIES = 100;
-    private static final long HELD_PAUSE_NANOS = 100_000_000;
+    private static final int HELD_PIECES_ATTEMPTS = 100;
+    private static final long HELD_PIECES_POLL_NANOS = 100_000_000;
 
     private final LoadOptions mOptions;
     private final List<EngineProbe> mEngines;
     private final EntryProbe mEntries;
-    private final RunnerKiller mKiller;
+    private final EngineKiller mKiller;
     private final LatencyRecorder mLatencies = new LatencyRecorder();
 
-    /** Creates a run that has sent nothing yet. */
+    /** Creates a run without sending any requests. */
     public LoadRun(LoadOptions options) {
         mOptions = options;
         mEngines = options.engines().stream().map(EngineProbe::new).collect(Collectors.toList());
         mEntries = new EntryProbe(options.entries());
-        mKiller = new RunnerKiller(mEngines, options.speed(), options.seed());
+        mKiller = new EngineKiller(mEngines, options.speed(), options.seed());
     }
 
     /**
-     * Runs to the end of the last answer.
+     * Runs until the last response has ended.
      *
-     * @throws IllegalArgumentException if the engines' speed is not the run's
+     * @throws IllegalArgumentException if the speed of the engines differs from that of the run
      */
     public RunSummary run() {
         EngineSettings settings = mEngines.get(0).settings();
@@ -83,28 +83,28 @@
         return calls.stream().map(CompletableFuture::join).collect(Collectors.toList());
     }
 
-    /** Open loop: a request leaves at its planned time, however late the answers are. */
+    /** Waits for a request's planned time; open loop, so responses do not delay later requests. */
     private void waitUntil(long atMicros, LongSupplier micros) {
-        long left = atMicros - micros.getAsLong();
-        while (left > 0) {
-            long nanos = TimeUnit.MICROSECONDS.toNanos(left);
+        long remaining = atMicros - micros.getAsLong();
+        while (remaining > 0) {
+            long nanos = TimeUnit.MICROSECONDS.toNanos(remaining);
             LockSupport.parkNanos((long) (nanos / mOptions.speed()));
-            left = atMicros - micros.getAsLong();
+            remaining = atMicros - micros.getAsLong();
         }
     }
 
     private double capacity(EngineSettings settings) {
         Deployment deployment = mOptions.deployment();
-        long decoding =
-                deployment.runnerRoles().stream().filter(BackendRole.DECODE::equals).count();
+        long decodeEngines =
+                deployment.engineRoles().stream().filter(BackendRole.DECODE::equals).count();
         return PoolCapacity.perSecond(
-                settings, (int) decoding, deployment.workload().answerTokens());
+                settings, (int) decodeEngines, deployment.workload().answerTokens());
     }
 
     private void checkSpeed(EngineSettings settings) {
         if (settings.speed() != mOptions.speed()) {
             throw new IllegalArgumentException(
-                    "engines run at speed " + settings.speed() + ", not " + mOptions.speed());
+                    "engines run at speed " + settings.speed() + ", expected " + mOptions.speed());
         }
     }
 
@@ -112,17 +112,20 @@
         return mEngines.stream().map(EngineProbe::counts).reduce(NO_COUNTS, EngineCounts::plus);
     }
 
-    /** Returns what is held once nothing is, or after the time for cancels has passed. */
+    /**
+     * Returns the KV cache pages that are still allocated. Polls until there are none or the last
+     * attempt has passed, since cancels take effect with a delay.
+     */
     private int heldPieces() {
-        int held = heldNow();
-        for (int i = 0; held > 0 && i < HELD_TRIES; i++) {
-            LockSupport.parkNanos(HELD_PAUSE_NANOS);
-            held = heldNow();
+        int held = currentHeldPieces();
+        for (int i = 0; held > 0 && i < HELD_PIECES_ATTEMPTS; i++) {
+            LockSupport.parkNanos(HELD_PIECES_POLL_NANOS);
+            held = currentHeldPieces();
         }
         return held;
     }
 
-    private int heldNow() {
+    private int currentHeldPieces() {
         return mEngines.stream().mapToInt(EngineProbe::heldPieces).sum();
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/PoolCapacity.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/PoolCapacity.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 
-/** Requests that a decode pool can sustain with all its slots in use. */
+/** Calculates the request rate that a decode pool sustains with all slots in use. */
 final class PoolCapacity {
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -10,11 +10,11 @@
     private PoolCapacity() {}
 
     /**
-     * Returns the capacity in requests for each modelled second.
+     * Returns the capacity in requests per modelled second.
      *
      * @param engine settings of each decode engine
-     * @param engines decode engines
-     * @param answerTokens mean length of an answer
+     * @param engines number of decode engines
+     * @param answerTokens mean completion length in tokens
      */
     static double perSecond(EngineSettings engine, int engines, int answerTokens) {
         double answerMillis = answerTokens * engine.stepMillis(engine.slots());
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/PromptSource.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/PromptGenerator.java
@@ -10,8 +10,8 @@
 import org.cyclamenpaddle.standins.deployment.TokenRange;
 import org.cyclamenpaddle.standins.deployment.WorkloadShape;
 
-/** Prompts of a workload shape, drawn from one seeded random generator. */
-final class PromptSource {
+/** Generates prompts and teams of a workload shape from a seeded random generator. */
+final class PromptGenerator {
 
     private final UniformRandomProvider mRandom;
     private final WorkloadShape mShape;
@@ -19,7 +19,7 @@
     private final SharedStateDiscreteSampler mPrefixRank;
     private final SharedStateDiscreteSampler mTeamRank;
 
-    PromptSource(WorkloadShape shape, UniformRandomProvider random) {
+    PromptGenerator(WorkloadShape shape, UniformRandomProvider random) {
         mRandom = random;
         mShape = shape;
         mPrefixes =
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/ReasonCounts.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/ReasonCounts.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Counters with a {@code reason} tag, read from a metrics page.
+ * Values of a counter by its {@code reason} label, parsed from a metrics page.
  *
  * @param values sums by reason
  */
@@ -20,7 +20,7 @@
         values = Map.copyOf(values);
     }
 
-    /** Reads the counter {@code metric} from a page in the Prometheus text format. */
+    /** Parses the counter {@code metric} from a page in the Prometheus text format. */
     static ReasonCounts parse(String page, String metric) {
         return new ReasonCounts(
                 page.lines()
@@ -38,7 +38,7 @@
         return new ReasonCounts(sums);
     }
 
-    /** Returns what was added since {@code earlier}; reasons with nothing added are left out. */
+    /** Returns the increase since {@code earlier}, without the reasons that did not increase. */
     ReasonCounts since(ReasonCounts earlier) {
         return new ReasonCounts(
                 values.entrySet().stream()
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/RunTotals.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/RunTotals.java
@@ -10,11 +10,11 @@
 import org.cyclamenpaddle.standins.engine.EngineCounts;
 import org.cyclamenpaddle.standins.report.RunSummary;
 
-/** Sums over the calls of one run. */
+/** Aggregates the calls of one run into its summary. */
 final class RunTotals {
 
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final Set<CallOutcome> WITHOUT_ANSWER =
+    private static final Set<CallOutcome> FAILED_OUTCOMES =
             EnumSet.of(CallOutcome.REFUSED, CallOutcome.CUT_OFF, CallOutcome.LOST);
 
     private final LoadOptions mOptions;
@@ -42,7 +42,7 @@
                 mOptions.seconds(),
                 capacity,
                 mResults.size(),
-                mResults.stream().filter(this::good).count(),
+                mResults.stream().filter(this::meetsTargets).count(),
                 outcomes(),
                 refusals(),
                 entries.refusals().values(),
@@ -55,7 +55,7 @@
                 mLatencies.gaps());
     }
 
-    private boolean good(CallResult result) {
+    private boolean meetsTargets(CallResult result) {
         long firstMicros = mOptions.deployment().firstTokenMillis() * MICROS_PER_MILLI;
         long gapMicros = mOptions.deployment().perTokenMillis() * MICROS_PER_MILLI;
         return result.outcome() == CallOutcome.WHOLE
@@ -74,7 +74,7 @@
 
     private Map<String, Long> refusals() {
         return mResults.stream()
-                .filter(result -> WITHOUT_ANSWER.contains(result.outcome()))
+                .filter(result -> FAILED_OUTCOMES.contains(result.outcome()))
                 .map(CallResult::reason)
                 .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load tool: open-loop arrivals, streamed answers, checks and faults during a run. */
+/** Open-loop load generator that verifies streamed completions and injects engine crashes. */
 package org.cyclamenpaddle.standins.load;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/FleetFile.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/FleetFile.java
@@ -7,18 +7,18 @@
 import java.util.Optional;
 import org.cyclamenpaddle.standins.engine.EngineSettings;
 import org.cyclamenpaddle.standins.engine.EngineStandin;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.cyclamenpaddle.standins.plain.PlainServiceStandin;
 import org.cyclamenpaddle.standins.platform.ListedHost;
 import org.cyclamenpaddle.standins.platform.PlatformStandin;
 
 /**
- * Stand-ins to start in one process, as a JSON file gives them.
+ * JSON file that lists the stand-ins to start in one process.
  *
- * @param platformPorts ports of platforms
- * @param plainPorts ports of plain services
- * @param engines ports and settings of engines
- * @param hosts entry hosts in the platforms' host list
+ * @param platformPorts ports of the platform stand-ins
+ * @param plainPorts ports of the plain services
+ * @param engines ports and settings of the engines
+ * @param hosts entry hosts in the host list of every platform stand-in
  */
 record FleetFile(
         List<Integer> platformPorts,
@@ -33,7 +33,7 @@
         hosts = hosts == null ? List.of() : List.copyOf(hosts);
     }
 
-    /** One engine of the file. */
+    /** Port and settings of an engine. */
     record EngineEntry(int port, JsonNode settings) {
 
         EngineSettings engineSettings() {
@@ -44,10 +44,10 @@
     }
 
     static FleetFile read(Path file) throws IOException {
-        return Answers.JSON.readValue(file.toFile(), FleetFile.class);
+        return JsonResponses.JSON.readValue(file.toFile(), FleetFile.class);
     }
 
-    /** Starts all stand-ins of the file; they end with the process. */
+    /** Starts all stand-ins of the file; they run until the process exits. */
     void start() {
         platformPorts.forEach(this::startPlatform);
         plainPorts.forEach(port -> new PlainServiceStandin().start(port));
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/StandinsMain.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/StandinsMain.java
@@ -21,13 +21,13 @@
 
     /** Runs the subcommand that the first argument names. */
     public static void main(String[] args) {
-        // Armeria would otherwise take io_uring where it finds it, which users rule out.
+        // Armeria would otherwise use io_uring where it is available, which users rule out.
         System.setProperty("com.linecorp.armeria.transportType", "nio");
-        quietLogs();
+        suppressLibraryLogs();
         Optional<Subcommand> command =
                 Arrays.stream(args).findFirst().flatMap(Subcommand::fromCode);
         if (command.isEmpty()) {
-            usage("a subcommand is needed: " + subcommands());
+            usage("expected a subcommand, one of: " + subcommands());
             return;
         }
         run(command.get(), Arrays.copyOfRange(args, 1, args.length));
@@ -45,8 +45,10 @@
         }
     }
 
-    /** Standard output is read by scripts; the libraries' informational lines would mix with it. */
-    private static void quietLogs() {
+    /**
+     * Limits logs to errors, since scripts parse standard output and info lines would mix with it.
+     */
+    private static void suppressLibraryLogs() {
         if (LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME) instanceof Logger root) {
             root.setLevel(Level.ERROR);
         }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/Subcommand.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/Subcommand.java
@@ -26,7 +26,7 @@
 import org.cyclamenpaddle.standins.report.SummaryFiles;
 import org.cyclamenpaddle.standins.report.SummaryTable;
 
-/** Subcommands of the program. */
+/** Subcommands of the command line. */
 enum Subcommand {
     PLATFORM {
         @Override
@@ -150,13 +150,13 @@
         @Override
         void run(CommandLine line) throws IOException {
             if (line.getArgList().size() != 1) {
-                throw new IllegalArgumentException("one directory is needed");
+                throw new IllegalArgumentException("expected exactly one directory");
             }
             System.out.print(Report.write(Path.of(line.getArgList().get(0))));
         }
     };
 
-    /** Printed when all stand-ins listen. */
+    /** Line printed when all stand-ins are listening. */
     static final String READY = "ready";
 
     private static final int EXIT_DONE = 0;
@@ -166,7 +166,7 @@
     /** Returns the subcommand's options. */
     abstract Options options();
 
-    /** Runs until the work is done, or for good if it serves. */
+    /** Runs the subcommand; one that starts stand-ins does not return. */
     abstract void run(CommandLine line) throws IOException;
 
     String code() {
@@ -189,7 +189,7 @@
         return Integer.parseInt(line.getOptionValue(PORT));
     }
 
-    /** Says that all listen and waits for SIGTERM, whose default handling ends the process. */
+    /** Prints the ready line and blocks until SIGTERM, whose default action ends the process. */
     private static void serve() {
         System.out.println(READY);
         System.out.flush();
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/main/package-info.java
@@ -1,2 +1,2 @@
-/** Command line of the stand-ins and the load tool. */
+/** Command line of the stand-ins and the load generator. */
 package org.cyclamenpaddle.standins.main;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for engines, plain services and the platform, and the load tool. */
+/** Stand-ins for engines, plain services and the platform, and a load generator. */
 package org.cyclamenpaddle.standins;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/PlainServiceStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/PlainServiceStandin.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.cyclamenpaddle.standins.http.StandinServer;
 
 /**
- * Booking service: {@code POST /book} must not repeat, {@code GET /stock} may.
+ * Booking service whose {@code POST /book} is not idempotent and whose {@code GET /stock} is.
  *
- * <p>It does not deduplicate, so that a second run of a key is seen in {@link #runs}.
+ * <p>It does not deduplicate requests, so that {@link #runs} shows a repeated execution of a key.
  */
 public final class PlainServiceStandin implements AutoCloseable {
 
@@ -26,27 +26,27 @@
     private final AtomicLong mBookings = new AtomicLong();
     private final AtomicLong mCalls = new AtomicLong();
     private final AtomicInteger mFailBeforeRun = new AtomicInteger();
-    private final AtomicInteger mLoseAnswers = new AtomicInteger();
+    private final AtomicInteger mResponsesToLose = new AtomicInteger();
     private volatile long mDelayMillis;
 
     /**
-     * Fault switches as scripts post them to {@code /standin/faults}.
+     * Body of {@code POST /standin/faults}.
      *
-     * @param delayMillis wait before each run, in milliseconds
-     * @param failBeforeRun next calls that fail before they run
-     * @param loseAnswers next calls that run and then lose their connection
+     * @param delayMillis delay before each execution, in milliseconds
+     * @param failBeforeRun number of next calls that fail before they run
+     * @param loseAnswers number of next calls that run and then drop their connection
      */
     public record Faults(long delayMillis, int failBeforeRun, int loseAnswers) {}
 
-    /** Body of a booking, which {@code lot} names. */
+    /** Body of a booking request for {@code lot}. */
     private record Booking(String lot) {}
 
-    /** Starts listening; {@code port} 0 takes any. */
+    /** Starts listening on {@code port}; 0 selects a free port. */
     public void start(int port) {
         mServer.start(port);
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the listening port. */
     public int port() {
         return mServer.port();
     }
@@ -56,35 +56,35 @@
         mServer.stop();
     }
 
-    /** Returns how often a booking of {@code key} ran. */
+    /** Returns how many times a booking with {@code key} ran. */
     public int runs(String key) {
         AtomicInteger runs = mRuns.get(key);
         return runs == null ? 0 : runs.get();
     }
 
-    /** Returns the calls that came in, also those that have not run. */
+    /** Returns the number of calls received, including those that did not run. */
     public long calls() {
         return mCalls.get();
     }
 
-    /** Returns the bookings run under any key. */
+    /** Returns the number of bookings run, over all keys. */
     public long bookings() {
         return mBookings.get();
     }
 
-    /** Delays every call before it runs, in milliseconds. */
+    /** Delays every call by {@code millis} before it runs. */
     public void delay(long millis) {
         mDelayMillis = millis;
     }
 
-    /** Makes the next {@code calls} fail with 503 before they run. */
+    /** Makes the next {@code calls} calls fail with 503 before they run. */
     public void failBeforeRun(int calls) {
         mFailBeforeRun.set(calls);
     }
 
-    /** Makes the next {@code calls} run and then lose their connection. */
+    /** Makes the next {@code calls} calls run and then drop their connection. */
     public void loseResponses(int calls) {
-        mLoseAnswers.set(calls);
+        mResponsesToLose.set(calls);
     }
 
     private void routes(ServerBuilder builder) {
@@ -95,18 +95,18 @@
                 .build(
                         (ctx, req) -> {
                             String key = ctx.queryParams().get("key", "");
-                            return Answers.ok(Map.of("key", key, "runs", runs(key)));
+                            return JsonResponses.ok(Map.of("key", key, "runs", runs(key)));
                         });
         builder.route()
                 .post("/standin/faults")
-                .build((ctx, req) -> Answers.withBody(ctx, Faults.class, this::apply));
+                .build((ctx, req) -> JsonResponses.withBody(ctx, Faults.class, this::apply));
     }
 
     private HttpResponse apply(Faults faults) {
         delay(faults.delayMillis());
         failBeforeRun(faults.failBeforeRun());
         loseResponses(faults.loseAnswers());
-        return Answers.ok(faults);
+        return JsonResponses.ok(faults);
     }
 
     private HttpResponse delayed(
@@ -119,35 +119,35 @@
     }
 
     private HttpResponse book(ServiceRequestContext ctx) {
-        return Answers.withBody(ctx, Booking.class, booking -> run(ctx, booking));
+        return JsonResponses.withBody(ctx, Booking.class, booking -> run(ctx, booking));
     }
 
     private HttpResponse run(ServiceRequestContext ctx, Booking booking) {
-        if (taken(mFailBeforeRun)) {
-            return Answers.error(
+        if (consume(mFailBeforeRun)) {
+            return JsonResponses.error(
                     HttpStatus.SERVICE_UNAVAILABLE, "failed", "failed before the booking ran");
         }
         String key = ctx.request().headers().get(KEY_HEADER, "");
         mRuns.computeIfAbsent(key, k -> new AtomicInteger()).incrementAndGet();
         long number = mBookings.incrementAndGet();
-        if (taken(mLoseAnswers)) {
-            return Answers.dropConnection(ctx);
+        if (consume(mResponsesToLose)) {
+            return JsonResponses.dropConnection(ctx);
         }
         String lot = booking.lot() == null ? "" : booking.lot();
-        return Answers.ok(Map.of("lot", lot, "booking", number));
+        return JsonResponses.ok(Map.of("lot", lot, "booking", number));
     }
 
     private HttpResponse stock(ServiceRequestContext ctx) {
-        if (taken(mFailBeforeRun)) {
-            return Answers.error(HttpStatus.SERVICE_UNAVAILABLE, "failed", "no stock read");
+        if (consume(mFailBeforeRun)) {
+            return JsonResponses.error(HttpStatus.SERVICE_UNAVAILABLE, "failed", "no stock read");
         }
-        if (taken(mLoseAnswers)) {
-            return Answers.dropConnection(ctx);
+        if (consume(mResponsesToLose)) {
+            return JsonResponses.dropConnection(ctx);
         }
-        return Answers.ok(Map.of("booked", mBookings.get()));
+        return JsonResponses.ok(Map.of("booked", mBookings.get()));
     }
 
-    private static boolean taken(AtomicInteger left) {
-        return left.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+    private static boolean consume(AtomicInteger remaining) {
+        return remaining.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/plain/package-info.java
@@ -1,2 +1,2 @@
-/** Plain booking service that counts the runs of each key. */
+/** Stand-in for a plain booking service that counts the executions of each key. */
 package org.cyclamenpaddle.standins.plain;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/CallKind.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/CallKind.java
@@ -1,6 +1,6 @@
 package org.cyclamenpaddle.standins.platform;
 
-/** Kinds of call that the platform counts. */
+/** Kinds of API call, counted separately. */
 public enum CallKind {
     LIST,
     READ,
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/HostList.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/HostList.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.cyclamenpaddle.core.time.Clock;
 
-/** Host list whose changes are seen late. Thread-safe. */
+/** Host list whose changes become visible after a delay. Thread-safe. */
 final class HostList {
 
     private final Clock mClock;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/ListedHost.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/ListedHost.java
@@ -1,10 +1,10 @@
 package org.cyclamenpaddle.standins.platform;
 
 /**
- * One line of the platform's host list.
+ * Entry of the platform's host list.
  *
- * @param host name
- * @param address IP number
+ * @param host host name
+ * @param address IP address
  * @param peerPort TCP port for peers
  * @param httpPort TCP port for callers
  * @param domain failure domain
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/ObjectStore.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/ObjectStore.java
@@ -11,9 +11,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Objects with one store-wide revision and a bounded history of events.
+ * Versioned object store with one store-wide revision and a bounded event history.
  *
- * <p>Thread-safe. Watches complete outside of the lock.
+ * <p>Thread-safe. Watches are completed without holding the lock.
  */
 final class ObjectStore {
 
@@ -28,22 +28,22 @@
         mHistoryLimit = historyLimit;
     }
 
-    /** One object as stored. */
+    /** A stored object. */
     record StoredObject(String key, long version, String value) {}
 
-    /** One change; {@code value} is empty if it was a deletion. */
+    /** A change of an object; {@code value} is empty for a deletion. */
     record WatchEvent(String key, long version, boolean deleted, String value) {}
 
-    /** All objects below a prefix at one revision. */
+    /** All objects whose keys start with a prefix, at one revision. */
     record Listing(long revision, List<StoredObject> objects) {}
 
-    /** Events of one watch and the revision to watch from next. */
-    record WatchAnswer(long revision, List<WatchEvent> events) {}
+    /** Events of a watch and the revision from which to watch next. */
+    record WatchResponse(long revision, List<WatchEvent> events) {}
 
-    /** Result of a conditional write: a new version, or the object that stood against it. */
+    /** Result of a conditional write: the new version, or the object that conflicts with it. */
     record WriteResult(boolean done, long version, Optional<StoredObject> found) {}
 
-    private record Watch(String prefix, long after, CompletableFuture<WatchAnswer> answer) {}
+    private record Watch(String prefix, long after, CompletableFuture<WatchResponse> answer) {}
 
     synchronized Optional<StoredObject> read(String key) {
         return Optional.ofNullable(mObjects.get(key));
@@ -57,22 +57,22 @@
         return new Listing(mRevision, found);
     }
 
-    /** Writes if the object's version is {@code expected}; 0 expects none. */
+    /** Writes an object if its current version is {@code expected}; 0 if it must not exist. */
     WriteResult put(String key, String value, long expected) {
         return write(key, Optional.of(value), expected);
     }
 
-    /** Deletes if the object's version is {@code expected}. */
+    /** Deletes an object if its current version is {@code expected}. */
     WriteResult delete(String key, long expected) {
         return write(key, Optional.empty(), expected);
     }
 
-    /** Returns the events after a revision, when there are any; empty if it was compacted. */
-    synchronized Optional<CompletableFuture<WatchAnswer>> watch(String prefix, long after) {
+    /** Watches for events after a revision; empty if the revision was compacted. */
+    synchronized Optional<CompletableFuture<WatchResponse>> watch(String prefix, long after) {
         if (after < mCompacted) {
             return Optional.empty();
         }
-        WatchAnswer ready = eventsAfter(prefix, after);
+        WatchResponse ready = eventsAfter(prefix, after);
         if (!ready.events().isEmpty()) {
             return Optional.of(CompletableFuture.completedFuture(ready));
         }
@@ -81,17 +81,17 @@
         return Optional.of(watch.answer());
     }
 
-    /** Ends a waiting watch without events. */
-    void endWatch(CompletableFuture<WatchAnswer> answer) {
+    /** Completes a pending watch without events. */
+    void endWatch(CompletableFuture<WatchResponse> pending) {
         long revision;
         synchronized (this) {
-            mWatches.removeIf(watch -> watch.answer() == answer);
+            mWatches.removeIf(watch -> watch.answer() == pending);
             revision = mRevision;
         }
-        answer.complete(new WatchAnswer(revision, List.of()));
+        pending.complete(new WatchResponse(revision, List.of()));
     }
 
-    /** Drops the whole event history, so that older watches are told to list again. */
+    /** Discards the event history, so that watches from older revisions must list again. */
     synchronized void compact() {
         mHistory.clear();
         mCompacted = mRevision;
@@ -102,7 +102,7 @@
     }
 
     private WriteResult write(String key, Optional<String> value, long expected) {
-        Map<CompletableFuture<WatchAnswer>, WatchAnswer> due;
+        Map<CompletableFuture<WatchResponse>, WatchResponse> due;
         long version;
         synchronized (this) {
             StoredObject found = mObjects.get(key);
@@ -112,7 +112,7 @@
             }
             version = ++mRevision;
             store(key, version, value);
-            due = dueWatches(key);
+            due = removeMatchingWatches(key);
         }
         due.forEach(CompletableFuture::complete);
         return new WriteResult(true, version, Optional.empty());
@@ -128,7 +128,7 @@
         }
     }
 
-    private Map<CompletableFuture<WatchAnswer>, WatchAnswer> dueWatches(String key) {
+    private Map<CompletableFuture<WatchResponse>, WatchResponse> removeMatchingWatches(String key) {
         List<Watch> due =
                 mWatches.stream()
                         .filter(watch -> key.startsWith(watch.prefix()))
@@ -141,11 +141,11 @@
                                 watch -> eventsAfter(watch.prefix(), watch.after())));
     }
 
-    private WatchAnswer eventsAfter(String prefix, long after) {
+    private WatchResponse eventsAfter(String prefix, long after) {
         List<WatchEvent> events =
                 mHistory.stream()
                         .filter(e -> e.version() > after && e.key().startsWith(prefix))
                         .collect(Collectors.toList());
-        return new WatchAnswer(mRevision, events);
+        return new WatchResponse(mRevision, events);
     }
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/Outage.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/Outage.java
@@ -3,32 +3,32 @@
 import com.linecorp.armeria.common.HttpResponse;
 import com.linecorp.armeria.common.HttpStatus;
 import java.util.function.Supplier;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** How the platform answers calls. */
+/** Availability of the platform's API. */
 public enum Outage {
-    /** Calls are answered. */
+    /** Calls are served. */
     NONE {
         @Override
-        HttpResponse answer(Supplier<HttpResponse> call) {
+        HttpResponse apply(Supplier<HttpResponse> call) {
             return call.get();
         }
     },
-    /** Calls are refused at once and have no effect. */
+    /** Calls are rejected immediately and have no effect. */
     REFUSE {
         @Override
-        HttpResponse answer(Supplier<HttpResponse> call) {
-            return Answers.error(
+        HttpResponse apply(Supplier<HttpResponse> call) {
+            return JsonResponses.error(
                     HttpStatus.SERVICE_UNAVAILABLE, "unavailable", "the platform is down");
         }
     },
-    /** Calls get no answer and have no effect. */
+    /** Calls never receive a response and have no effect. */
     HANG {
         @Override
-        HttpResponse answer(Supplier<HttpResponse> call) {
-            return Answers.never();
+        HttpResponse apply(Supplier<HttpResponse> call) {
+            return JsonResponses.never();
         }
     };
 
-    abstract HttpResponse answer(Supplier<HttpResponse> call);
+    abstract HttpResponse apply(Supplier<HttpResponse> call);
 }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/PlatformStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/PlatformStandin.java
@@ -19,10 +19,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.cyclamenpaddle.core.time.MonotonicClock;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 import org.cyclamenpaddle.standins.http.StandinServer;
 
-/** Platform stand-in: object API and host list over HTTP, with fault switches. */
+/** Platform stand-in that serves the object API and host list over HTTP, with fault switches. */
 public final class PlatformStandin implements AutoCloseable {
 
     private static final int HISTORY_LIMIT = 10_000;
@@ -33,19 +33,19 @@
     private final StandinServer mServer = new StandinServer(this::routes);
     private final HostList mHosts = new HostList(new MonotonicClock());
     private final Map<CallKind, AtomicLong> mCalls = new ConcurrentHashMap<>();
-    private final AtomicInteger mLoseAnswers = new AtomicInteger();
+    private final AtomicInteger mResponsesToLose = new AtomicInteger();
     private volatile Outage mOutage = Outage.NONE;
-    private volatile long mSlowMillis;
+    private volatile long mResponseDelayMillis;
 
-    /** Creates a platform with a long event history. */
+    /** Creates a platform with the default event history. */
     public PlatformStandin() {
         this(HISTORY_LIMIT);
     }
 
     /**
-     * Creates a platform that keeps {@code historyLimit} events for watches.
+     * Creates a platform with a bounded event history.
      *
-     * @param historyLimit events kept; an older watch gets 410
+     * @param historyLimit number of events retained; a watch from an older revision gets 410
      */
     public PlatformStandin(int historyLimit) {
         mStore = new ObjectStore(historyLimit);
@@ -53,12 +53,12 @@
     }
 
     /**
-     * Fault switches as scripts post them to {@code /standin/faults}.
+     * Body of {@code POST /standin/faults}.
      *
-     * @param outage how calls are answered; none if absent
-     * @param slowMillis delay of each answer, in milliseconds
-     * @param loseAnswers next writes that take effect but lose their answer
-     * @param compact whether to drop the event history now
+     * @param outage availability of the API; available if absent
+     * @param slowMillis delay of each response, in milliseconds
+     * @param loseAnswers number of next writes that take effect but lose their response
+     * @param compact whether to discard the event history now
      */
     public record Faults(Outage outage, long slowMillis, int loseAnswers, boolean compact) {}
 
@@ -66,12 +66,12 @@
 
     private record HostsBody(List<ListedHost> hosts, long lagMillis) {}
 
-    /** Starts listening; {@code port} 0 takes any. */
+    /** Starts listening on {@code port}; 0 selects a free port. */
     public void start(int port) {
         mServer.start(port);
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the listening port. */
     public int port() {
         return mServer.port();
     }
@@ -81,32 +81,32 @@
         mServer.stop();
     }
 
-    /** Answers calls from now on as {@code outage} says. */
+    /** Sets the availability of the API for all later calls. */
     public void outage(Outage outage) {
         mOutage = outage;
     }
 
-    /** Delays every answer by {@code millis}. */
+    /** Delays every response by {@code millis}. */
     public void delayResponses(long millis) {
-        mSlowMillis = millis;
+        mResponseDelayMillis = millis;
     }
 
-    /** Makes the next {@code writes} take effect and lose their answer. */
+    /** Makes the next {@code writes} writes take effect but lose their response. */
     public void loseResponses(int writes) {
-        mLoseAnswers.set(writes);
+        mResponsesToLose.set(writes);
     }
 
-    /** Drops the event history, so that watches from older revisions get 410. */
+    /** Discards the event history, so that watches from older revisions get 410. */
     public void compact() {
         mStore.compact();
     }
 
-    /** Sets the host list, seen by callers {@code lagMillis} later. */
+    /** Sets the host list, which becomes visible after {@code lagMillis}. */
     public void hosts(List<ListedHost> hosts, long lagMillis) {
         mHosts.set(hosts, lagMillis);
     }
 
-    /** Returns the calls counted of a kind; a waiting watch counts once. */
+    /** Returns the number of calls of a kind; a pending watch counts once. */
     public long calls(CallKind kind) {
         return mCalls.get(kind).get();
     }
@@ -130,11 +130,11 @@
         route(builder, CallKind.HOSTS, b -> b.get("/hosts"), this::hostList);
         builder.route()
                 .post("/standin/faults")
-                .build((ctx, req) -> Answers.withBody(ctx, Faults.class, this::apply));
+                .build((ctx, req) -> JsonResponses.withBody(ctx, Faults.class, this::apply));
         builder.route()
                 .post("/standin/hosts")
-                .build((ctx, req) -> Answers.withBody(ctx, HostsBody.class, this::apply));
-        builder.route().get("/standin/calls").build((ctx, req) -> Answers.ok(mCalls));
+                .build((ctx, req) -> JsonResponses.withBody(ctx, HostsBody.class, this::apply));
+        builder.route().get("/standin/calls").build((ctx, req) -> JsonResponses.ok(mCalls));
     }
 
     private void route(
@@ -153,11 +153,11 @@
             CallKind kind,
             Function<ServiceRequestContext, HttpResponse> handler) {
         mCalls.get(kind).incrementAndGet();
-        Supplier<HttpResponse> answer = () -> mOutage.answer(() -> handler.apply(ctx));
-        long slowMillis = mSlowMillis;
-        return slowMillis == 0
-                ? answer.get()
-                : HttpResponse.delayed(answer, Duration.ofMillis(slowMillis), ctx.eventLoop());
+        Supplier<HttpResponse> response = () -> mOutage.apply(() -> handler.apply(ctx));
+        long delayMillis = mResponseDelayMillis;
+        return delayMillis == 0
+                ? response.get()
+                : HttpResponse.delayed(response, Duration.ofMillis(delayMillis), ctx.eventLoop());
     }
 
     private HttpResponse apply(Faults faults) {
@@ -167,24 +167,26 @@
         if (faults.compact()) {
             compact();
         }
-        return Answers.ok(faults);
+        return JsonResponses.ok(faults);
     }
 
     private HttpResponse apply(HostsBody body) {
         hosts(body.hosts(), body.lagMillis());
-        return Answers.ok(Map.of("hosts", body.hosts().size()));
+        return JsonResponses.ok(Map.of("hosts", body.hosts().size()));
     }
 
     private HttpResponse list(ServiceRequestContext ctx) {
-        return Answers.ok(mStore.list(ctx.queryParams().get("prefix", "")));
+        return JsonResponses.ok(mStore.list(ctx.queryParams().get("prefix", "")));
     }
 
     private HttpResponse read(ServiceRequestContext ctx) {
         String key = ctx.pathParam("key");
         return mStore.read(key)
-                .map(Answers::ok)
+                .map(JsonResponses::ok)
                 .orElseGet(
-                        () -> Answers.error(HttpStatus.NOT_FOUND, "not-found", "no object " + key));
+                        () ->
+                                JsonResponses.error(
+                                        HttpStatus.NOT_FOUND, "not-found", "no object " + key));
     }
 
     private HttpResponse put(ServiceRequestContext ctx) {
@@ -193,8 +195,10 @@
             return missingCondition();
         }
         String key = ctx.pathParam("key");
-        return Answers.withBody(
-                ctx, Value.class, body -> written(ctx, mStore.put(key, body.value(), expected)));
+        return JsonResponses.withBody(
+                ctx,
+                Value.class,
+                body -> writeResponse(ctx, mStore.put(key, body.value(), expected)));
     }
 
     private HttpResponse delete(ServiceRequestContext ctx) {
@@ -202,21 +206,21 @@
         if (expected <= 0) {
             return missingCondition();
         }
-        return written(ctx, mStore.delete(ctx.pathParam("key"), expected));
+        return writeResponse(ctx, mStore.delete(ctx.pathParam("key"), expected));
     }
 
-    private HttpResponse written(ServiceRequestContext ctx, ObjectStore.WriteResult result) {
-        if (mLoseAnswers.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
-            return Answers.dropConnection(ctx);
+    private HttpResponse writeResponse(ServiceRequestContext ctx, ObjectStore.WriteResult result) {
+        if (mResponsesToLose.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+            return JsonResponses.dropConnection(ctx);
         }
         if (result.done()) {
-            return Answers.ok(Map.of("version", result.version()));
+            return JsonResponses.ok(Map.of("version", result.version()));
         }
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("reason", "conflict");
         result.found().ifPresent(found -> body.put("version", found.version()));
         result.found().ifPresent(found -> body.put("value", found.value()));
-        return Answers.of(HttpStatus.CONFLICT, body);
+        return JsonResponses.of(HttpStatus.CONFLICT, body);
     }
 
     private HttpResponse watch(ServiceRequestContext ctx) {
@@ -224,27 +228,27 @@
         long after = ctx.queryParams().getLong("after", 0);
         long waitMillis = Math.min(MAX_WAIT_MILLIS, ctx.queryParams().getLong("waitMillis", 0));
         return mStore.watch(prefix, after)
-                .map(answer -> waiting(ctx, answer, waitMillis))
+                .map(events -> awaitEvents(ctx, events, waitMillis))
                 .orElseGet(
                         () ->
-                                Answers.error(
+                                JsonResponses.error(
                                         HttpStatus.GONE, "compacted", "list the objects again"));
     }
 
-    private HttpResponse waiting(
+    private HttpResponse awaitEvents(
             ServiceRequestContext ctx,
-            CompletableFuture<ObjectStore.WatchAnswer> answer,
+            CompletableFuture<ObjectStore.WatchResponse> events,
             long waitMillis) {
-        ctx.eventLoop().schedule(() -> mStore.endWatch(answer), waitMillis, TimeUnit.MILLISECONDS);
-        return HttpResponse.of(answer.thenApply(Answers::ok));
+        ctx.eventLoop().schedule(() -> mStore.endWatch(events), waitMillis, TimeUnit.MILLISECONDS);
+        return HttpResponse.of(events.thenApply(JsonResponses::ok));
     }
 
     private HttpResponse hostList(ServiceRequestContext ctx) {
-        return Answers.ok(Map.of("hosts", mHosts.visible()));
+        return JsonResponses.ok(Map.of("hosts", mHosts.visible()));
     }
 
     private static HttpResponse missingCondition() {
-        return Answers.error(
+        return JsonResponses.error(
                 HttpStatus.PRECONDITION_REQUIRED,
                 "no-condition",
                 "If-Match with a version or If-None-Match: * is needed");
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/platform/package-info.java
@@ -1,2 +1,2 @@
-/** Object API and host list of the platform, in memory, with fault switches. */
+/** In-memory stand-in for the platform's object API and host list, with fault switches. */
 package org.cyclamenpaddle.standins.platform;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/MergedRuns.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/MergedRuns.java
@@ -9,25 +9,25 @@
 import java.util.stream.Collectors;
 
 /**
- * Runs that differ in their seed only: medians of rates and latencies, sums of faults.
+ * Aggregate of runs that differ only in their seed: medians of rates and latencies, sums of faults.
  *
  * @param deployment deployment
- * @param policy label
- * @param load offered share of capacity
- * @param seeds runs merged
- * @param offeredPerSecond median of requests offered a second
- * @param goodPerSecond median of goodput
- * @param goodShare median share of offered requests within both targets
- * @param wastedTokens median of prefilled tokens never used
- * @param wastedShare median share of prefilled tokens never used
+ * @param policy label of the compared variant
+ * @param load offered load, as a share of capacity
+ * @param seeds number of merged runs
+ * @param offeredPerSecond median of the offered requests per second
+ * @param goodPerSecond median of the goodput per second
+ * @param goodShare median share of offered requests that met both latency targets
+ * @param wastedTokens median of the wasted prefill tokens
+ * @param wastedShare median share of prefilled tokens that were wasted
  * @param firstToken medians of the percentiles of the time to first token
- * @param betweenTokens medians of the percentiles of the time between tokens
- * @param wrong wrong answers in all runs
- * @param duplicated answers with a part that came twice, in all runs
- * @param cutOff answers cut off or lost, in all runs
- * @param heldPieces memory pieces still held after any run
- * @param kills engines crashed on purpose in all runs
- * @param refusals refusals in all runs, by the reason their callers were told
+ * @param betweenTokens medians of the percentiles of the inter-token latency
+ * @param wrong wrong completions in all runs
+ * @param duplicated completions with duplicated tokens, in all runs
+ * @param cutOff truncated or lost responses, in all runs
+ * @param heldPieces KV cache pages still allocated after the runs, summed over all runs
+ * @param kills injected engine crashes in all runs
+ * @param refusals rejected and truncated calls in all runs, by the reason returned to the caller
  * @param retries retries in all runs, by reason
  */
 public record MergedRuns(
@@ -57,7 +57,9 @@
 
     private record Group(String deployment, String policy, double load) {}
 
-    /** Merges runs by deployment, policy and load, and sorts by these. */
+    /**
+     * Groups runs by deployment, policy and load, and sorts the groups by deployment, load, policy.
+     */
     public static List<MergedRuns> of(List<RunSummary> runs) {
         Map<Group, List<RunSummary>> groups =
                 runs.stream()
@@ -104,7 +106,7 @@
                 median(runs, run -> of.apply(run).p99()));
     }
 
-    /** Returns the middle value, or the mean of the two in the middle. */
+    /** Returns the median, for an even count the mean of the two middle values. */
     private static double median(List<RunSummary> runs, ToDoubleFunction<RunSummary> value) {
         double[] sorted = runs.stream().mapToDouble(value).sorted().toArray();
         int upper = sorted.length / 2;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/Report.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/Report.java
@@ -4,21 +4,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Report over the summaries of a directory: table, JSON and plots. */
+/** Writes a report on the run summaries of a directory as a table, JSON and plots. */
 public final class Report {
 
-    /** File of the table. */
+    /** Name of the table file. */
     public static final String TABLE = "report.md";
 
-    /** File of the same as JSON. */
+    /** Name of the JSON file with the same data. */
     public static final String DATA = "report.json";
 
     private Report() {}
 
     /**
-     * Merges the summaries of a directory and writes the report beside them.
+     * Merges the summaries of a directory and writes the report to the same directory.
      *
      * @return the table
      */
@@ -26,7 +26,7 @@
         List<MergedRuns> runs = MergedRuns.of(SummaryFiles.read(directory));
         String table = SummaryTable.of(runs);
         Files.writeString(directory.resolve(TABLE), table);
-        Answers.JSON
+        JsonResponses.JSON
                 .writerWithDefaultPrettyPrinter()
                 .writeValue(directory.resolve(DATA).toFile(), runs);
         for (SharePlot plot : SharePlot.values()) {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/RunSummary.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/RunSummary.java
@@ -5,27 +5,27 @@
 import java.util.TreeMap;
 
 /**
- * What one load run measured; rates and latencies are in modelled time.
+ * Results of one load run; rates and latencies are in modelled time.
  *
- * @param policy label of what was compared
- * @param deployment deployment whose shape was used
- * @param load offered share of the decode pool's capacity
+ * @param policy label of the compared variant
+ * @param deployment deployment that defined the workload shape
+ * @param load offered load, as a share of the decode pool's capacity
  * @param seed seed of the arrivals and prompts
- * @param speed by how much modelled time ran faster than the machine's clock
- * @param seconds length of the arrivals
- * @param capacityPerSecond capacity of the decode pool, in requests a second
- * @param offered requests sent
- * @param good requests answered whole within both targets
+ * @param speed factor by which modelled time ran faster than real time
+ * @param seconds duration of the arrivals
+ * @param capacityPerSecond capacity of the decode pool, in requests per second
+ * @param offered number of requests sent
+ * @param good requests completed within both latency targets
  * @param outcomes requests by outcome
- * @param refusals requests refused or cut off, by the reason their callers were told
- * @param routerRefusals refusals that the entry hosts counted, by reason
- * @param retries retries that the entry hosts counted, by reason
- * @param prefilledTokens uncached tokens that engines prefilled
- * @param wastedTokens those of them never used
- * @param kills engines crashed on purpose
- * @param heldPieces engine memory pieces still held after the last call ended
+ * @param refusals rejected, truncated or lost calls, by the reason that the caller received
+ * @param routerRefusals rejections counted by the entry hosts, by reason
+ * @param retries retries counted by the entry hosts, by reason
+ * @param prefilledTokens uncached tokens prefilled by the engines
+ * @param wastedTokens prefilled tokens that were never used
+ * @param kills injected engine crashes
+ * @param heldPieces KV cache pages still allocated after the last call ended
  * @param firstToken time to first token
- * @param betweenTokens time between tokens
+ * @param betweenTokens inter-token latency
  */
 public record RunSummary(
         String policy,
@@ -55,25 +55,25 @@
         retries = new TreeMap<>(retries);
     }
 
-    /** Returns requests answered whole within both targets, a second. */
+    /** Returns the goodput: requests completed within both latency targets, per second. */
     @JsonProperty(access = JsonProperty.Access.READ_ONLY)
     public double goodPerSecond() {
         return good / seconds;
     }
 
-    /** Returns the share of offered requests answered whole within both targets. */
+    /** Returns the share of offered requests that completed within both latency targets. */
     @JsonProperty(access = JsonProperty.Access.READ_ONLY)
     public double goodShare() {
         return offered == 0 ? 0 : (double) good / offered;
     }
 
-    /** Returns the share of prefilled tokens that was never used. */
+    /** Returns the share of prefilled tokens that were wasted. */
     @JsonProperty(access = JsonProperty.Access.READ_ONLY)
     public double wastedShare() {
         return prefilledTokens == 0 ? 0 : (double) wastedTokens / prefilledTokens;
     }
 
-    /** Returns the requests with an outcome. */
+    /** Returns the number of requests with an outcome. */
     public long outcome(String code) {
         return outcomes.getOrDefault(code, 0L);
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SharePlot.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SharePlot.java
@@ -18,7 +18,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** What is plotted over the offered load, one line for each policy. */
+/** Plots of a share over the offered load, with one line per policy. */
 enum SharePlot {
     GOODPUT("Goodput as share of offered requests", MergedRuns::goodShare),
     WASTED_PREFILL("Prefilled tokens never used, as share", MergedRuns::wastedShare);
@@ -35,7 +35,7 @@
         mValue = value;
     }
 
-    /** Writes one PNG for each deployment of {@code runs} into {@code directory}. */
+    /** Writes one PNG file per deployment of {@code runs} into {@code directory}. */
     void write(Path directory, List<MergedRuns> runs) throws IOException {
         System.setProperty("java.awt.headless", "true");
         Map<String, List<MergedRuns>> deployments =
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SummaryFiles.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SummaryFiles.java
@@ -8,16 +8,16 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.cyclamenpaddle.standins.http.Answers;
+import org.cyclamenpaddle.standins.http.JsonResponses;
 
-/** Summaries of runs as JSON files in one directory. */
+/** Reads and writes run summaries as JSON files in a directory. */
 public final class SummaryFiles {
 
     private static final String SUFFIX = ".run.json";
 
     private SummaryFiles() {}
 
-    /** Writes a summary under a name that tells its run; returns the file. */
+    /** Writes a summary to a file named after its run and returns the file. */
     public static Path write(Path directory, RunSummary summary) throws IOException {
         Files.createDirectories(directory);
         String name =
@@ -30,11 +30,11 @@
                         summary.seed(),
                         SUFFIX);
         Path file = directory.resolve(name);
-        Answers.JSON.writerWithDefaultPrettyPrinter().writeValue(file.toFile(), summary);
+        JsonResponses.JSON.writerWithDefaultPrettyPrinter().writeValue(file.toFile(), summary);
         return file;
     }
 
-    /** Reads all summaries of a directory, in order of their names. */
+    /** Reads all summaries of a directory, ordered by file name. */
     public static List<RunSummary> read(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.filter(file -> file.toString().endsWith(SUFFIX))
@@ -46,7 +46,7 @@
 
     private static RunSummary readOne(Path file) {
         try {
-            return Answers.JSON.readValue(file.toFile(), RunSummary.class);
+            return JsonResponses.JSON.readValue(file.toFile(), RunSummary.class);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SummaryTable.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/SummaryTable.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Merged runs as one Markdown table. */
+/** Formats merged runs as a Markdown table. */
 public final class SummaryTable {
 
     private static final List<String> COLUMNS =
@@ -31,7 +31,7 @@
 
     private SummaryTable() {}
 
-    /** Returns the table as text. */
+    /** Returns the table as Markdown text. */
     public static String of(List<MergedRuns> runs) {
         String head = row(COLUMNS);
         String rule = row(COLUMNS.stream().map(c -> "---").collect(Collectors.toList()));
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/package-info.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/package-info.java
@@ -1,2 +1,2 @@
-/** Summaries of load runs: JSON, table, medians over seeds, plots. */
+/** Reports of load runs: JSON summaries, medians over seeds, a table and plots. */
 package org.cyclamenpaddle.standins.report;
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/deployment/DeploymentFilesTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/deployment/DeploymentFilesTest.java
@@ -23,9 +23,9 @@
     }
 
     @Test(dataProvider = "deployments")
-    public void declaredPresetPassesTheChecks(Deployment deployment, int runners) {
+    public void declaredPresetPassesTheChecks(Deployment deployment, int engines) {
         DeploymentPlan plan = new DeploymentPlan(deployment, 1, 20_000, 4);
-        assertEquals(plan.enginePorts().size(), runners);
+        assertEquals(plan.enginePorts().size(), engines);
         ConfigurationView view =
                 new ConfigurationView(
                         plan.services().stream()
