--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineModelTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineModelTest.java
@@ -18,7 +18,7 @@
 
     private static final String PROMPT = "x".repeat(8_000 * PromptText.CHARS_PER_TOKEN);
 
-    private final List<Either<EngineRefusal, PrefillDone>> mPrefills = new ArrayList<>();
+    private final List<Either<EngineRejection, PrefillResponse>> mPrefills = new ArrayList<>();
     private final List<EngineEvent> mEvents = new ArrayList<>();
     private VirtualEngineTimer mTimer;
     private EngineCounters mCounters;
@@ -89,10 +89,10 @@
     }
 
     @Test
-    public void stalledExportLeavesTheRestOfTheResultsLife() {
-        // The caller waits for its first token; the transfer moves no byte and is given up. The
-        // result must still be there for the rest of its life, since a repeated prefill costs
-        // far more than a repeated transfer.
+    public void abortedExportRestoresTheRemainingTimeToLive() {
+        // A transfer stalls without moving a byte and is aborted while the caller still waits for
+        // its first token. The result must stay available for its remaining time to live, since a
+        // second prefill costs far more than a second transfer.
         EngineModel model = model("{}");
         prefill(model, "a", PROMPT, 0);
         mTimer.advanceMillis(405);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void decodeStreamsTheAnswerOfThePromptInOrder() {
+    public void decodeStreamsTheCompletionInOrder() {
         EngineModel model = model("{}");
         decode(model, "d", 0, 5);
         mTimer.advanceMillis(25 * 5);
@@ -117,7 +117,7 @@
     }
 
     @Test
-    public void answerStopsByItselfBeforeMaxTokens() {
+    public void completionStopsBeforeMaxTokens() {
         EngineModel model = model("{\"answerTokens\": 10}");
         int length = CompletionText.length(PromptText.hash(PROMPT), 10);
         decode(model, "d", 0, 100);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    public void resumedStreamStartsAtTheAskedIndex() {
+    public void resumedStreamStartsAtTheRequestedIndex() {
         EngineModel model = model("{}");
         decode(model, "d", 0, 6);
         mTimer.advanceMillis(25 * 4);
@@ -153,7 +153,7 @@
     public void largerBatchSlowsEachStep() {
         EngineModel model = model("{}");
         IntStream.range(0, 20).forEach(i -> decode(model, "d" + i, 0, 100));
-        assertEquals(model.decode(ask("full", 0, 9)).getLeft(), EngineRefusal.FULL);
+        assertEquals(model.decode(request("full", 0, 9)).getLeft(), EngineRejection.FULL);
         mTimer.advanceMillis(25 + 34);
         long before = mCounters.counts().generatedTokens();
         mTimer.advanceMillis(1);
@@ -161,9 +161,10 @@
     }
 
     @Test
-    public void cancelFreesMemoryAndRefusesTheAttemptForGood() {
-        // A caller leaves and its cancel overtakes the decode it is meant for. Were the late
-        // decode accepted, it would hold a slot and memory for an answer that no one reads.
+    public void cancelFreesMemoryAndRejectsTheAttemptPermanently() {
+        // A caller disconnects and its cancel arrives before the decode request that it cancels.
+        // If the late decode were admitted, it would occupy a slot and memory for a completion that
+        // no client reads.
         EngineModel model = model("{}");
         decode(model, "d", 0, 100);
         mTimer.advanceMillis(60);
@@ -173,13 +174,13 @@
         assertEquals(model.heldPieces(), 0);
         assertEquals(mEvents.get(mEvents.size() - 1), new EngineEvent.Failed("cancelled"));
         model.cancel("late");
-        assertEquals(model.decode(ask("late", 0, 9)).getLeft(), EngineRefusal.CANCELLED);
+        assertEquals(model.decode(request("late", 0, 9)).getLeft(), EngineRejection.CANCELLED);
         prefill(model, "late", PROMPT, 0);
-        assertEquals(mPrefills.get(0).getLeft(), EngineRefusal.CANCELLED);
+        assertEquals(mPrefills.get(0).getLeft(), EngineRejection.CANCELLED);
     }
 
     @Test
-    public void transferThatNeverComesFailsTheDecode() {
+    public void transferTimeoutFailsTheDecode() {
         EngineModel model = model("{}", (source, done) -> () -> {});
         decode(model, "d", 0, 5);
         mTimer.advanceMillis(1_000);
@@ -190,19 +191,19 @@
     }
 
     @Test
-    public void priorTokensMustBeginTheAnswer() {
+    public void priorTokensMustBeAPrefixOfTheCompletion() {
         EngineModel model = model("{}");
         long hash = PromptText.hash("p");
         List<String> prior = List.of(CompletionText.token(hash, 0), CompletionText.token(hash, 1));
-        model.prefill(new PrefillAsk("a", "p", prior, 0, 0), mPrefills::add);
-        model.prefill(new PrefillAsk("b", "p", List.of("wrong "), 0, 0), mPrefills::add);
+        model.prefill(new PrefillRequest("a", "p", prior, 0, 0), mPrefills::add);
+        model.prefill(new PrefillRequest("b", "p", List.of("wrong "), 0, 0), mPrefills::add);
         mTimer.advanceMillis(100);
-        assertEquals(mPrefills.get(0).getLeft(), EngineRefusal.PRIOR_MISMATCH);
+        assertEquals(mPrefills.get(0).getLeft(), EngineRejection.PRIOR_MISMATCH);
         assertEquals(mPrefills.get(1).get().tokens(), 3);
     }
 
     @Test
-    public void cacheEventsComeLateAndWithGaps() {
+    public void cacheEventsAreDelayedAndHaveGaps() {
         EngineModel model = model("{\"cacheEventLossEvery\": 3, \"cachePieces\": 1}");
         prefill(model, "a", PROMPT, 0);
         mTimer.advanceMillis(405 + 299);
@@ -215,7 +216,7 @@
     }
 
     @Test
-    public void oldFencingNumberIsRefusedOnlyByEnginesThatHonourIt() {
+    public void staleFencingTokenIsRejectedOnlyByEnginesThatHonourIt() {
         EngineOrders.Order old = new EngineOrders.Order(4, "s", "m", "decode", 1_000);
         EngineOrders.Order current = new EngineOrders.Order(5, "s", "m", "prefill", 1_000);
         EngineModel honours = model("{}");
@@ -252,16 +253,16 @@
     }
 
     private void prefill(EngineModel model, String attempt, String prompt, int priority) {
-        model.prefill(new PrefillAsk(attempt, prompt, List.of(), priority, 0), mPrefills::add);
+        model.prefill(new PrefillRequest(attempt, prompt, List.of(), priority, 0), mPrefills::add);
     }
 
     private void decode(EngineModel model, String attempt, int first, int max) {
-        model.decode(ask(attempt, first, max)).get().subscribe(first, mEvents::add);
+        model.decode(request(attempt, first, max)).get().subscribe(first, mEvents::add);
     }
 
-    private static DecodeAsk ask(String attempt, int first, int max) {
-        DecodeAsk.Source source = new DecodeAsk.Source("127.0.0.1", 1, "p");
-        return new DecodeAsk(attempt, source, first, max, 0, 1_000);
+    private static DecodeRequest request(String attempt, int first, int max) {
+        DecodeRequest.Source source = new DecodeRequest.Source("127.0.0.1", 1, "p");
+        return new DecodeRequest(attempt, source, first, max, 0, 1_000);
     }
 
     private static String text(List<EngineEvent> events) {
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineStandinTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/EngineStandinTest.java
@@ -25,7 +25,7 @@
 
     private static final String PROMPT = "lot sheet ".repeat(200);
 
-    /** Results and events outlive any test, however slow the machine. */
+    /** Results and events are retained longer than any test takes, even on a slow machine. */
     private static final EngineSettings SETTINGS =
             EngineSettings.fromJson(
                     "{\"speed\": 10, \"resultMillis\": 36000000, \"keepMillis\": 36000000}");
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void decodeFetchesTheResultAndStreamsTheWholeAnswer() {
+    public void decodeFetchesTheResultAndStreamsTheCompletion() {
         prefill(PROMPT);
         String body = decode(8).aggregate().join().contentUtf8();
         assertTrue(body.startsWith("{\"event\":\"imported\",\"bytes\":"), body);
@@ -68,8 +68,8 @@
 
     @Test
     public void stalledTransferFailsAndTheSecondTransferOfTheResultSucceeds() {
-        // The first transfer moves no byte. The decode engine gives up after transferMillis and
-        // drops its export, and the result is still there for a second attempt.
+        // The first transfer stalls. The decode engine times out after transferMillis and aborts
+        // its export, and the result must still be available for a second attempt.
         prefill(PROMPT);
         mSource.stallTransfers(1);
         String first = decode("d:1:1", 8, 200).aggregate().join().contentUtf8();
@@ -80,8 +80,8 @@
 
     @Test
     public void silencedConnectionStaysSilentWhileNewOnesWork() throws InterruptedException {
-        // The stream stops without an end. The attempt goes on in the engine, and only a new
-        // connection can read it.
+        // A stream stalls without an end event. The attempt continues in the engine, and only a new
+        // connection can read its events.
         prefill(PROMPT);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         read(decode(10_000), lines);
@@ -96,9 +96,9 @@
                         .get("/v1/attempts/d:1:1/stream?from=0");
         BlockingQueue<String> resumed = new LinkedBlockingQueue<>();
         read(fresh, resumed);
-        int heard = lines.size();
-        while (!resumed.take().contains("\"index\":" + (heard + 50))) {
-            assertTrue(lines.size() <= heard + 5, "the silenced stream went on");
+        int received = lines.size();
+        while (!resumed.take().contains("\"index\":" + (received + 50))) {
+            assertTrue(lines.size() <= received + 5, "the silenced stream continued");
         }
         factory.close();
     }
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void crashDropsConnectionsAndStateAndTheEngineComesBackEmpty() {
+    public void crashDropsConnectionsAndStateAndTheEngineRestartsEmpty() {
         mSource.restartAfterCrash(0);
         int port = mSource.port();
         assertThrows(CompletionException.class, () -> prefill("text " + EngineModel.CRASH_MARK));
@@ -129,22 +129,22 @@
 
     @Test
     public void switchesWorkOverHttp() {
-        AggregatedHttpResponse answer =
+        AggregatedHttpResponse response =
                 post(mSource, "/standin/faults", "{\"refuse\": true}").aggregate().join();
-        assertEquals(answer.status().code(), 200, answer.contentUtf8());
-        AggregatedHttpResponse refused =
+        assertEquals(response.status().code(), 200, response.contentUtf8());
+        AggregatedHttpResponse rejected =
                 post(mSource, "/v1/prefill", "{\"attempt\": \"a\", \"prompt\": \"p\"}")
                         .aggregate()
                         .join();
-        assertEquals(refused.status().code(), 503);
-        assertTrue(refused.contentUtf8().contains("\"reason\":\"full\""));
+        assertEquals(rejected.status().code(), 503);
+        assertTrue(rejected.contentUtf8().contains("\"reason\":\"full\""));
         assertFalse(get(mSource, "/standin/counts").contentUtf8().contains("\"attempts\":1"));
     }
 
     private void prefill(String prompt) {
         String body = "{\"attempt\": \"p:1:1\", \"prompt\": \"" + prompt + "\", \"prior\": []}";
-        AggregatedHttpResponse answer = post(mSource, "/v1/prefill", body).aggregate().join();
-        assertEquals(answer.status().code(), 200, answer.contentUtf8());
+        AggregatedHttpResponse response = post(mSource, "/v1/prefill", body).aggregate().join();
+        assertEquals(response.status().code(), 200, response.contentUtf8());
     }
 
     private HttpResponse decode(int maxTokens) {
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/LineReader.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/LineReader.java
@@ -5,7 +5,7 @@
 import org.reactivestreams.Subscriber;
 import org.reactivestreams.Subscription;
 
-/** Collects the chunks of a body. */
+/** Collects the chunks of a response body and the signal that ends it. */
 final class LineReader implements Subscriber<HttpData> {
 
     private final BlockingQueue<String> mLines;
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/VirtualEngineTimer.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/engine/VirtualEngineTimer.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Modelled time that moves only when told to. */
+/** Timer whose modelled time advances only by {@link #advanceMillis}. */
 final class VirtualEngineTimer implements EngineTimer {
 
     private final PriorityQueue<Task> mTasks =
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/ArrivalPlanTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/ArrivalPlanTest.java
@@ -19,11 +19,11 @@
     }
 
     @Test
-    public void arrivalsRiseAndHaveTheAskedRate() {
+    public void arrivalsAreOrderedAndHaveTheRequestedRate() {
         List<Long> times =
                 plan(3).stream().map(PlannedRequest::atMicros).collect(Collectors.toList());
         assertEquals(times, times.stream().sorted().collect(Collectors.toList()));
-        // 1,000 expected; the seed is fixed, so the bound of 4 standard deviations can't flake.
+        // Expected value 1,000, bound 4 standard deviations; not flaky, since the seed is fixed.
         assertTrue(Math.abs(times.size() - 1_000) < 127, "arrivals " + times.size());
     }
 
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/CompletionCallTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/CompletionCallTest.java
@@ -22,11 +22,11 @@
     public void reset() {
         mNow = 0;
         mLatencies = new LatencyRecorder();
-        mCall = new CompletionCall(new AnswerCheck(PROMPT, 0, 3), mLatencies, () -> mNow);
+        mCall = new CompletionCall(new CompletionVerifier(PROMPT, 0, 3), mLatencies, () -> mNow);
     }
 
     @Test
-    public void tokensAreTimedFromTheSendingOn() {
+    public void latenciesAreMeasuredFromTheSendTime() {
         mCall.onNext(ResponseHeaders.of(HttpStatus.OK));
         at(100_000, event(token(0)));
         String second = event(token(1));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void problemDocumentIsARefusalWithItsReason() {
+    public void problemDocumentIsARejectionWithItsReason() {
         mCall.onNext(ResponseHeaders.of(HttpStatus.SERVICE_UNAVAILABLE));
         at(1_000, "{\"reason\": \"queue");
         at(2_000, "-full\"}");
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void errorEventCutsTheAnswerOff() {
+    public void errorEventTruncatesTheCompletion() {
         mCall.onNext(ResponseHeaders.of(HttpStatus.OK));
         at(1_000, event(token(0)));
         at(2_000, "event: error\ndata: {\"reason\": \"backend-failed\"}\n\n");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void failedConnectionIsALostAnswer() {
+    public void failedConnectionIsLost() {
         mCall.onNext(ResponseHeaders.of(HttpStatus.OK));
         mCall.onError(new IllegalStateException("closed"));
         assertEquals(mCall.result().join().outcome(), CallOutcome.LOST);
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/AnswerCheckTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/CompletionVerifierTest.java
@@ -8,52 +8,52 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class AnswerCheckTest {
+public class CompletionVerifierTest {
 
     private static final String PROMPT = "which lot";
     private static final int TOKENS = 30;
 
-    private AnswerCheck mCheck;
+    private CompletionVerifier mVerifier;
 
     @BeforeMethod
     public void reset() {
-        mCheck = new AnswerCheck(PROMPT, 0, TOKENS);
+        mVerifier = new CompletionVerifier(PROMPT, 0, TOKENS);
     }
 
     @Test
-    public void wholeAnswerInOrderIsWhole() {
+    public void completeResponseInOrderIsWhole() {
         tokens(PROMPT, 0, TOKENS);
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.WHOLE);
-        assertEquals(mCheck.tokens(), TOKENS);
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.WHOLE);
+        assertEquals(mVerifier.tokens(), TOKENS);
     }
 
     @Test
-    public void answerToAnotherPromptIsWrong() {
+    public void completionOfAnotherPromptIsWrong() {
         tokens("another lot", 0, TOKENS);
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.WRONG);
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.WRONG);
     }
 
     @Test
     public void missingTokenIsWrong() {
         tokens(PROMPT, 0, 10);
         tokens(PROMPT, firstUnlike(10), TOKENS);
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.WRONG);
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.WRONG);
     }
 
     @Test
-    public void shortAnswerSaidToBeWholeIsWrong() {
+    public void shortCompletionMarkedDoneIsWrong() {
         tokens(PROMPT, 0, TOKENS - 1);
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.WRONG);
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.WRONG);
     }
 
     @Test
-    public void answerWithoutItsEndIsCutOff() {
+    public void completionWithoutDoneIsCutOff() {
         tokens(PROMPT, 0, TOKENS);
-        assertEquals(mCheck.outcome(), CallOutcome.CUT_OFF);
+        assertEquals(mVerifier.outcome(), CallOutcome.CUT_OFF);
     }
 
     @Test
@@ -62,18 +62,18 @@
                 IntStream.range(1, TOKENS).filter(i -> unlike(i, i - 1)).findFirst().orElse(0);
         tokens(PROMPT, 0, repeated);
         tokens(PROMPT, repeated - 1, TOKENS);
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.DUPLICATED);
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.DUPLICATED);
         reset();
         tokens(PROMPT, 0, TOKENS);
-        mCheck.done();
-        mCheck.done();
-        assertEquals(mCheck.outcome(), CallOutcome.DUPLICATED);
+        mVerifier.onDone();
+        mVerifier.onDone();
+        assertEquals(mVerifier.outcome(), CallOutcome.DUPLICATED);
     }
 
     private void tokens(String prompt, int from, int to) {
         long hash = PromptText.hash(prompt);
-        IntStream.range(from, to).forEach(i -> mCheck.text(CompletionText.token(hash, i)));
+        IntStream.range(from, to).forEach(i -> mVerifier.onText(CompletionText.token(hash, i)));
     }
 
     /** Returns the first index after {@code index} whose token differs from those around it. */
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/PoolCapacityTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/PoolCapacityTest.java
@@ -12,7 +12,8 @@
         EngineSettings engine =
                 EngineSettings.fromJson(
                         "{\"slots\": 11, \"tokenMillis\": 20, \"batchSlope\": 0.1}");
-        // A full batch steps in 40 ms, so an answer of 50 tokens takes 2 s of one of 22 slots.
+        // A step with a full batch takes 40 ms, so a completion of 50 tokens occupies one of 22
+        // slots for 2 s.
         assertEquals(PoolCapacity.perSecond(engine, 2, 50), 11.0, 1e-9);
     }
 }
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/ReasonCountsTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/load/ReasonCountsTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void differenceLeavesOutReasonsWithNothingAdded() {
+    public void differenceOmitsUnchangedReasons() {
         ReasonCounts before = ReasonCounts.parse(PAGE, "refusals_total");
         ReasonCounts after = before.plus(new ReasonCounts(Map.of("queue-full", 2L, "new", 1L)));
         assertEquals(after.since(before).values(), Map.of("queue-full", 2L, "new", 1L));
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/plain/PlainServiceStandinTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/plain/PlainServiceStandinTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void lostAnswerRanAndFailureBeforeRunDidNot() {
+    public void lostResponseRanAndFailureBeforeRunDidNot() {
         mService.loseResponses(1);
         assertThrows(CompletionException.class, () -> book("k"));
         assertEquals(mService.runs("k"), 1);
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/ObjectStoreTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/ObjectStoreTest.java
@@ -12,7 +12,7 @@
 public class ObjectStoreTest {
 
     @Test
-    public void versionsRiseOverDeletionAndRecreation() {
+    public void versionsIncreaseAcrossDeletionAndRecreation() {
         ObjectStore store = new ObjectStore(100);
         long first = store.put("a", "1", 0).version();
         long deleted = store.delete("a", first).version();
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void conditionalWriteTellsWhatStoodAgainstIt() {
+    public void failedConditionalWriteReturnsTheConflictingObject() {
         ObjectStore store = new ObjectStore(100);
         long version = store.put("a", "1", 0).version();
         ObjectStore.WriteResult lost = store.put("a", "2", 0);
@@ -35,7 +35,7 @@
     @Test
     public void watchWaitsForItsPrefixOnly() {
         ObjectStore store = new ObjectStore(100);
-        CompletableFuture<ObjectStore.WatchAnswer> watch = store.watch("a/", 0).orElseThrow();
+        CompletableFuture<ObjectStore.WatchResponse> watch = store.watch("a/", 0).orElseThrow();
         store.put("b/1", "x", 0);
         assertFalse(watch.isDone());
         store.put("a/1", "y", 0);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void watchFromACompactedRevisionIsRefused() {
+    public void watchFromACompactedRevisionIsRejected() {
         ObjectStore store = new ObjectStore(2);
         store.put("a", "1", 0);
         store.put("b", "1", 0);
--- a/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/PlatformStandinTest.java
+++ b/cyclamenpaddle-standins/src/test/java/org/cyclamenpaddle/standins/platform/PlatformStandinTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void waitingWatchAnswersOnChangeAndCountsOnce() {
+    public void pendingWatchCompletesOnChangeAndCountsOnce() {
         CompletableFuture<AggregatedHttpResponse> watch =
                 mClient.get("/watch?prefix=config/&after=0&waitMillis=60000").aggregate();
         create("config/service/s", "one");
@@ -64,9 +64,9 @@
     }
 
     @Test
-    public void lostAnswerComesAfterTheChangeTookEffect() {
-        // A host writes, the platform applies the write, and the connection dies before the
-        // answer. The host can't tell this from a write that never arrived.
+    public void lostResponseFollowsAnAppliedWrite() {
+        // The platform applies a host's write, and the connection fails before the response. The
+        // host cannot distinguish this from a write that never arrived.
         mPlatform.loseResponses(1);
         assertThrows(CompletionException.class, () -> create("k", "one"));
         assertEquals(mPlatform.value("k"), Optional.of("one"));
