--- a/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/config/ConfigurationChecksTest.java
+++ b/cyclamenpaddle-core/src/test/java/org/cyclamenpaddle/core/config/ConfigurationChecksTest.java
@@ -14,12 +14,13 @@
 
 public class ConfigurationChecksTest {
 
-    private static final ServiceName READER = new ServiceName("malt-reader");
+    private static final ServiceName MODEL_SERVICE = new ServiceName("malt-reader");
     private static final BackendId ENGINE = new BackendId("ahm-p1");
     private static final PresetName ORDINARY = new PresetName("ordinary");
 
-    private final ServiceSpec mReader =
-            new ServiceSpec(READER, ServiceKind.MODEL, "reader-7b", 580, 44, 100_000, List.of());
+    private final ServiceSpec mModelService =
+            new ServiceSpec(
+                    MODEL_SERVICE, ServiceKind.MODEL, "reader-7b", 580, 44, 100_000, List.of());
     private final BackendSpec mEngine =
             new BackendSpec(
                     ENGINE,
@@ -50,7 +51,7 @@
 
     @Test
     public void rejectsDeletionOfServiceNamedByPreset() {
-        String problem = ConfigurationChecks.removeService(view(), READER).orElseThrow();
+        String problem = ConfigurationChecks.removeService(view(), MODEL_SERVICE).orElseThrow();
 
         assertTrue(problem.contains("ordinary"), problem);
     }
@@ -71,13 +72,13 @@
 
     private ConfigurationView view() {
         return new ConfigurationView(
-                Map.of(READER, mReader),
+                Map.of(MODEL_SERVICE, mModelService),
                 Map.of(ENGINE, mEngine),
                 Map.of(ORDINARY, preset(BackendRole.PREFILL)),
                 Optional.of(ORDINARY));
     }
 
     private PresetSpec preset(BackendRole role) {
-        return new PresetSpec(ORDINARY, "", List.of(new Assignment(ENGINE, READER, role)));
+        return new PresetSpec(ORDINARY, "", List.of(new Assignment(ENGINE, MODEL_SERVICE, role)));
     }
 }
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/HelpText.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/HelpText.java
@@ -24,14 +24,14 @@
      */
     static String of(List<String> words) {
         List<CtlCommand> matching = CtlCommand.startingWith(words);
-        List<CtlCommand> shown = matching.isEmpty() ? List.of(CtlCommand.values()) : matching;
+        List<CtlCommand> listed = matching.isEmpty() ? List.of(CtlCommand.values()) : matching;
         StringBuilder text = new StringBuilder();
         appendLine(text, "Usage: cyclamenctl [--server IP:PORT]... [--output table|json] COMMAND");
         appendLine(text, "");
         appendLine(text, "Commands:");
-        shown.forEach(command -> appendCommand(text, command));
+        listed.forEach(command -> appendCommand(text, command));
         appendLine(text, "");
-        text.append(options(shown));
+        text.append(options(listed));
         appendLine(text, "Exit codes:");
         exitCodes().lines().forEach(row -> appendLine(text, "  " + row));
         return text.toString();
@@ -42,10 +42,12 @@
         appendLine(text, "      " + command.help());
     }
 
-    private static String options(List<CtlCommand> shown) {
+    private static String options(List<CtlCommand> listed) {
         Options options = new Options();
         Arrays.stream(CtlOption.values())
-                .filter(option -> isGlobal(option) || shown.stream().anyMatch(c -> c.takes(option)))
+                .filter(
+                        option ->
+                                isGlobal(option) || listed.stream().anyMatch(c -> c.takes(option)))
                 .forEach(option -> options.addOption(option.parserOption()));
         StringBuilder text = new StringBuilder();
         TextHelpAppendable appendable = new TextHelpAppendable(text);
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/PresetUseCommand.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/PresetUseCommand.java
@@ -127,12 +127,12 @@
                     status.path("hostsAlive").asLong());
         }
 
-        boolean isOnAllHosts(String wanted, long accepted) {
-            return version >= accepted && preset.equals(wanted) && hosts == alive && alive > 0;
+        boolean isOnAllHosts(String requested, long accepted) {
+            return version >= accepted && preset.equals(requested) && hosts == alive && alive > 0;
         }
 
-        boolean isSuperseded(String wanted, long accepted) {
-            return version > accepted && !preset.equals(wanted);
+        boolean isSuperseded(String requested, long accepted) {
+            return version > accepted && !preset.equals(requested);
         }
     }
 }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
@@ -82,7 +82,7 @@
         } else if (event instanceof BookingEvent.ClaimConflict conflict) {
             onExistingClaim(Optional.of(conflict.existing()), nowMillis, effects);
         } else if (event instanceof BookingEvent.ClaimResponseLost) {
-            readClaimBack(effects);
+            rereadClaim(effects);
         } else if (event instanceof BookingEvent.ClaimRead read) {
             onExistingClaim(read.existing(), nowMillis, effects);
         } else if (event instanceof BookingEvent.PlatformUnavailable) {
@@ -149,7 +149,7 @@
         }
     }
 
-    private void readClaimBack(List<BookingEffect> effects) {
+    private void rereadClaim(List<BookingEffect> effects) {
         if (mState == BookingState.CLAIMING) {
             // The claim may have been stored although the response was lost. A refusal would be
             // correct but would leave the key claimed; dispatching without knowing could run the
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** Actions that the owner of a ledger performs on behalf of {@link BackendDrain}. */
+/** Actions that the owner of a ledger performs on behalf of {@link BackendDrainCommand}. */
 public sealed interface DrainEffect {
 
     /**
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderController.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderController.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import org.cyclamenpaddle.core.config.FencingSupport;
 import org.cyclamenpaddle.core.id.Incarnation;
+import org.cyclamenpaddle.fleet.order.OrderEffect.AcquireFence;
 import org.cyclamenpaddle.fleet.order.OrderEffect.AcquireSlots;
 import org.cyclamenpaddle.fleet.order.OrderEffect.EndDrain;
 import org.cyclamenpaddle.fleet.order.OrderEffect.ReadState;
@@ -12,7 +13,6 @@
 import org.cyclamenpaddle.fleet.order.OrderEffect.ReleaseSlots;
 import org.cyclamenpaddle.fleet.order.OrderEffect.SendOrder;
 import org.cyclamenpaddle.fleet.order.OrderEffect.StartDrain;
-import org.cyclamenpaddle.fleet.order.OrderEffect.TakeFence;
 
 /**
  * Reconciles one engine with the preset in force, on the host that owns the engine's ledger.
@@ -38,7 +38,7 @@
         ACQUIRING,
         DRAINING,
         READING_STATUS,
-        TAKING_FENCE,
+        ACQUIRING_FENCE,
         WAITING_FOR_LEASE,
         ORDERING
     }
@@ -147,13 +147,13 @@
         // The lease starts before the write. A successor can acquire the token only after the
         // write, so its wait ends after the lease however long the response to the write takes.
         mLeaseEndMillis = nowMillis + mSettings.leaseMillis();
-        mPhase = Phase.TAKING_FENCE;
-        return List.of(new TakeFence(version, acquiring));
+        mPhase = Phase.ACQUIRING_FENCE;
+        return List.of(new AcquireFence(version, acquiring));
     }
 
     /** Processes the success of the update: the status object now names this host. */
-    public List<OrderEffect> onFenceTaken(long nowMillis) {
-        if (mPhase != Phase.TAKING_FENCE) {
+    public List<OrderEffect> onFenceAcquired(long nowMillis) {
+        if (mPhase != Phase.ACQUIRING_FENCE) {
             return List.of();
         }
         if (!mFence.orElseThrow().settled()) {
@@ -167,8 +167,8 @@
     }
 
     /** Processes a conflict or a lost response: another host may hold the token. */
-    public List<OrderEffect> onFenceUnsure() {
-        return mPhase == Phase.TAKING_FENCE ? readStatus() : List.of();
+    public List<OrderEffect> onFenceUpdateUncertain() {
+        return mPhase == Phase.ACQUIRING_FENCE ? readStatus() : List.of();
     }
 
     /**
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/OrderEffect.java
@@ -33,13 +33,13 @@
     record ReadStatus() implements OrderEffect {}
 
     /**
-     * Write the status object if it still has the expected version; report by {@code onFenceTaken},
-     * or by {@code onFenceUnsure} on a conflict or a lost response.
+     * Write the status object if it still has the expected version; report by {@code
+     * onFenceAcquired}, or by {@code onFenceUpdateUncertain} on a conflict or a lost response.
      *
      * @param expectedVersion the expected version; 0 if the object must not exist
      * @param status its new content
      */
-    record TakeFence(long expectedVersion, FenceStatus status) implements OrderEffect {}
+    record AcquireFence(long expectedVersion, FenceStatus status) implements OrderEffect {}
 
     /**
      * Send an order for a setup; check {@link OrderController#maySend} immediately before the first
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Ownership.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/ownership/Ownership.java
@@ -39,7 +39,7 @@
      *
      * @param domain the failure domain
      * @param alive hosts that may watch
-     * @param count number of hosts wanted; fewer are returned if the domain has fewer hosts
+     * @param count number of requested hosts; fewer are returned if the domain has fewer hosts
      */
     public static List<HostRecord> watchers(
             FailureDomain domain, Collection<HostRecord> alive, int count) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
@@ -42,7 +42,7 @@
                 List.of(new OrderEffect.ReadStatus()));
         assertEquals(
                 controller.onStatus(0, Optional.empty(), 20),
-                List.of(new OrderEffect.TakeFence(0, new FenceStatus(8, SELF, true))));
+                List.of(new OrderEffect.AcquireFence(0, new FenceStatus(8, SELF, true))));
     }
 
     @Test
@@ -64,7 +64,7 @@
         OrderController controller = ready();
         controller.onStatus(0, Optional.empty(), 0);
 
-        assertEquals(controller.onFenceTaken(600), List.of(new OrderEffect.ReadStatus()));
+        assertEquals(controller.onFenceAcquired(600), List.of(new OrderEffect.ReadStatus()));
     }
 
     @Test
@@ -77,15 +77,15 @@
         FenceStatus taken = new FenceStatus(5, SELF, false);
         assertEquals(
                 controller.onStatus(9, Optional.of(predecessor), 0),
-                List.of(new OrderEffect.TakeFence(9, taken)));
-        assertTrue(controller.onFenceTaken(10).isEmpty());
+                List.of(new OrderEffect.AcquireFence(9, taken)));
+        assertTrue(controller.onFenceAcquired(10).isEmpty());
         controller.stop();
         makeReady(controller, 300);
 
         assertEquals(
                 controller.onStatus(10, Optional.of(taken), 300),
-                List.of(new OrderEffect.TakeFence(10, new FenceStatus(6, SELF, false))));
-        assertTrue(controller.onFenceTaken(310).isEmpty());
+                List.of(new OrderEffect.AcquireFence(10, new FenceStatus(6, SELF, false))));
+        assertTrue(controller.onFenceAcquired(310).isEmpty());
         assertTrue(controller.tick(Optional.of(DESIRED), true, 1_209).isEmpty());
         assertEquals(
                 controller.tick(Optional.of(DESIRED), true, 1_210),
@@ -123,7 +123,7 @@
         OrderController controller = ready();
         controller.onStatus(0, Optional.empty(), 0);
         assertEquals(
-                controller.onFenceTaken(responseMillis),
+                controller.onFenceAcquired(responseMillis),
                 List.of(new OrderEffect.SendOrder(1, DESIRED, 400)));
         return controller;
     }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
@@ -207,14 +207,14 @@
     }
 
     private List<ClaimShardEffect> onRead(
-            ClaimShard shard, FakePlatform.Response<String> response) {
-        return response.result() == FakePlatform.Result.DONE
+            ClaimShard shard, SimulatedPlatform.StoreResponse<String> response) {
+        return response.result() == SimulatedPlatform.Result.DONE
                 ? shard.onRead(response.stored().version(), document(response))
                 : shard.onPlatformUnavailable(mRun.mQueue.now());
     }
 
     private List<ClaimShardEffect> onWrite(
-            ClaimShard shard, FakePlatform.Response<String> response) {
+            ClaimShard shard, SimulatedPlatform.StoreResponse<String> response) {
         return switch (response.result()) {
             case DONE -> shard.onWritten(response.stored().version());
             case CONFLICT -> shard.onConflict(response.stored().version(), document(response));
@@ -223,7 +223,7 @@
         };
     }
 
-    private static ClaimDocument document(FakePlatform.Response<String> response) {
+    private static ClaimDocument document(SimulatedPlatform.StoreResponse<String> response) {
         return response.stored()
                 .value()
                 .map(text -> CODEC.decode(text).get())
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
@@ -40,7 +40,7 @@
     final EventQueue mQueue = new EventQueue();
     final UniformRandomProvider mRandom;
     final List<BookingHost> mHosts = new ArrayList<>();
-    final FakePlatform<String> mPlatform;
+    final SimulatedPlatform<String> mPlatform;
     final ClaimShardSettings mShards;
     final Map<RunOutcome, Integer> mReplies = new EnumMap<>(RunOutcome.class);
     final Map<RefusalReason, Integer> mRefusals = new EnumMap<>(RefusalReason.class);
@@ -55,7 +55,7 @@
     BookingRun(int hosts, int shards, long seed) {
         mShards = new ClaimShardSettings(shards, TimeUnit.HOURS.toMillis(24), 900_000, 200, 1_000);
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        mPlatform = new FakePlatform<>(mQueue, mRandom);
+        mPlatform = new SimulatedPlatform<>(mQueue, mRandom);
         for (int i = 0; i < hosts; i++) {
             mHosts.add(new BookingHost(this, i, mIncarnations));
         }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/ConfigurationRun.java
@@ -18,7 +18,7 @@
 import org.cyclamenpaddle.fleet.configuration.ConfigurationReplica;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationSync;
 import org.cyclamenpaddle.fleet.configuration.ConfigurationSyncSettings;
-import org.cyclamenpaddle.fleet.simulation.FakePlatform.Stored;
+import org.cyclamenpaddle.fleet.simulation.SimulatedPlatform.Stored;
 
 /**
  * Simulation of replicas in several domains, while operators write and delete objects, domains are
@@ -37,7 +37,7 @@
 
     private final EventQueue mQueue = new EventQueue();
     private final UniformRandomProvider mRandom;
-    private final FakePlatform<String> mPlatform;
+    private final SimulatedPlatform<String> mPlatform;
     private final List<Replica> mReplicas = new ArrayList<>();
     private final boolean[] mPartitionedFromPlatform = new boolean[DOMAINS];
     private final boolean[] mPartitionedFromPeers = new boolean[DOMAINS];
@@ -47,7 +47,7 @@
 
     ConfigurationRun(long seed) {
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        mPlatform = new FakePlatform<>(mQueue, mRandom);
+        mPlatform = new SimulatedPlatform<>(mQueue, mRandom);
         for (int i = 0; i < HOSTS; i++) {
             mReplicas.add(new Replica(i));
         }
@@ -110,14 +110,14 @@
                                     Collectors.toMap(
                                             ConfigurationObject::key,
                                             o -> o.version() + o.document().get()));
-            Map<ObjectKey, String> wanted =
+            Map<ObjectKey, String> expected =
                     mPlatform.objects().stream()
                             .map(ConfigurationRun::object)
                             .collect(
                                     Collectors.toMap(
                                             ConfigurationObject::key,
                                             o -> o.version() + o.document().get()));
-            require(live.equals(wanted), () -> replica.mSelf + ": " + live + " not " + wanted);
+            require(live.equals(expected), () -> replica.mSelf + ": " + live + " not " + expected);
             require(
                     replica.mReplica.digest() == mReplicas.get(0).mReplica.digest(),
                     () -> replica.mSelf + " has a different digest");
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/OrderRun.java
@@ -19,7 +19,7 @@
 import org.cyclamenpaddle.fleet.order.OrderController;
 import org.cyclamenpaddle.fleet.order.OrderEffect;
 import org.cyclamenpaddle.fleet.order.OrderSettings;
-import org.cyclamenpaddle.fleet.simulation.FakePlatform.Result;
+import org.cyclamenpaddle.fleet.simulation.SimulatedPlatform.Result;
 
 /**
  * Simulation of two hosts that may both consider themselves the owner of one engine, are paused
@@ -37,7 +37,7 @@
 
     private final EventQueue mQueue = new EventQueue();
     private final UniformRandomProvider mRandom;
-    private final FakePlatform<String> mPlatform;
+    private final SimulatedPlatform<String> mPlatform;
     private final FencingSupport mFencing;
     private final Holder[] mHolders;
     private final Map<Long, Incarnation> mFences = new HashMap<>();
@@ -50,7 +50,7 @@
     OrderRun(FencingSupport fencing, long seed) {
         mFencing = fencing;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        mPlatform = new FakePlatform<>(mQueue, mRandom);
+        mPlatform = new SimulatedPlatform<>(mQueue, mRandom);
         mHolders = new Holder[] {new Holder("host-a"), new Holder("host-b")};
     }
 
@@ -187,7 +187,7 @@
                 mDrained = false;
             } else if (effect instanceof OrderEffect.ReadStatus) {
                 mPlatform.read("fence", response -> handle(() -> apply(onStatus(response))));
-            } else if (effect instanceof OrderEffect.TakeFence take) {
+            } else if (effect instanceof OrderEffect.AcquireFence take) {
                 mPlatform.put(
                         "fence",
                         take.expectedVersion(),
@@ -198,7 +198,7 @@
             }
         }
 
-        private List<OrderEffect> onStatus(FakePlatform.Response<String> response) {
+        private List<OrderEffect> onStatus(SimulatedPlatform.StoreResponse<String> response) {
             return response.result() == Result.DONE
                     ? mController.onStatus(
                             response.stored().version(),
@@ -209,8 +209,8 @@
 
         private List<OrderEffect> onPut(Result result) {
             return switch (result) {
-                case DONE -> mController.onFenceTaken(mQueue.now());
-                case CONFLICT, LOST -> mController.onFenceUnsure();
+                case DONE -> mController.onFenceAcquired(mQueue.now());
+                case CONFLICT, LOST -> mController.onFenceUpdateUncertain();
                 case UNAVAILABLE -> mController.onFailed(mQueue.now());
             };
         }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/FakePlatform.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/SimulatedPlatform.java
@@ -14,7 +14,7 @@
  *
  * @param <T> type of the values
  */
-final class FakePlatform<T> {
+final class SimulatedPlatform<T> {
 
     /** A stored value; empty for a deleted object. */
     record Stored<T>(String key, long version, Optional<T> value) {}
@@ -28,7 +28,7 @@
     }
 
     /** Response to a call, with the stored object. */
-    record Response<T>(Result result, Stored<T> stored) {}
+    record StoreResponse<T>(Result result, Stored<T> stored) {}
 
     private static final int RESPONSE_TIMEOUT_MILLIS = 100;
     private static final int MAX_LATE_WRITE_MILLIS = 400;
@@ -42,7 +42,7 @@
     double mLossRate;
     long mCalls;
 
-    FakePlatform(EventQueue queue, UniformRandomProvider random) {
+    SimulatedPlatform(EventQueue queue, UniformRandomProvider random) {
         mQueue = queue;
         mRandom = random;
     }
@@ -72,20 +72,26 @@
         return stored;
     }
 
-    void read(String key, Consumer<Response<T>> then) {
+    void read(String key, Consumer<StoreResponse<T>> then) {
         mCalls++;
         if (mUnavailable || mRandom.nextDouble() < mLossRate) {
-            respond(new Response<>(Result.UNAVAILABLE, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
+            respond(
+                    new StoreResponse<>(Result.UNAVAILABLE, stored(key)),
+                    RESPONSE_TIMEOUT_MILLIS,
+                    then);
             return;
         }
-        Response<T> response = new Response<>(Result.DONE, stored(key));
+        StoreResponse<T> response = new StoreResponse<>(Result.DONE, stored(key));
         respond(response, delay(), then);
     }
 
-    void put(String key, long expected, T value, Consumer<Response<T>> then) {
+    void put(String key, long expected, T value, Consumer<StoreResponse<T>> then) {
         mCalls++;
         if (mUnavailable) {
-            respond(new Response<>(Result.UNAVAILABLE, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
+            respond(
+                    new StoreResponse<>(Result.UNAVAILABLE, stored(key)),
+                    RESPONSE_TIMEOUT_MILLIS,
+                    then);
             return;
         }
         boolean lost = mRandom.nextDouble() < mLossRate;
@@ -96,23 +102,23 @@
             mQueue.after(late, () -> effect(key, expected, value, lost, then));
         }
         if (lost) {
-            respond(new Response<>(Result.LOST, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
+            respond(new StoreResponse<>(Result.LOST, stored(key)), RESPONSE_TIMEOUT_MILLIS, then);
         }
     }
 
     private void effect(
-            String key, long expected, T value, boolean lost, Consumer<Response<T>> then) {
+            String key, long expected, T value, boolean lost, Consumer<StoreResponse<T>> then) {
         boolean matches = stored(key).version() == expected;
         if (matches) {
             write(key, Optional.of(value));
         }
         if (!lost) {
             Result result = matches ? Result.DONE : Result.CONFLICT;
-            respond(new Response<>(result, stored(key)), delay(), then);
+            respond(new StoreResponse<>(result, stored(key)), delay(), then);
         }
     }
 
-    private void respond(Response<T> response, int millis, Consumer<Response<T>> then) {
+    private void respond(StoreResponse<T> response, int millis, Consumer<StoreResponse<T>> then) {
         mQueue.after(millis, () -> then.accept(response));
     }
 
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/OutgoingPeer.java
@@ -36,7 +36,7 @@
     private final OutgoingQueue mQueue;
     private final PendingRequests mPendingRequests = new PendingRequests();
     private final AtomicBoolean mDrainScheduled = new AtomicBoolean();
-    private final Backoff mBackoff;
+    private final ReconnectBackoff mBackoff;
 
     private volatile HostRecord mTarget;
     private Optional<OutgoingLink> mLink = Optional.empty();
@@ -60,7 +60,7 @@
         mSettings = settings;
         mClock = clock;
         mQueue = new OutgoingQueue(settings.maxQueuedFrames());
-        mBackoff = new Backoff(settings.minBackoffMillis(), settings.maxBackoffMillis());
+        mBackoff = new ReconnectBackoff(settings.minBackoffMillis(), settings.maxBackoffMillis());
     }
 
     void send(HostRecord to, PeerMessage message) {
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/Backoff.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/net/ReconnectBackoff.java
@@ -1,14 +1,14 @@
 package org.cyclamenpaddle.peer.net;
 
 /** Exponential backoff between failed connection attempts to one host; not thread-safe. */
-final class Backoff {
+final class ReconnectBackoff {
 
     private final long mMinMillis;
     private final long mMaxMillis;
     private long mStepMillis;
     private long mUntilMillis = Long.MIN_VALUE;
 
-    Backoff(long minMillis, long maxMillis) {
+    ReconnectBackoff(long minMillis, long maxMillis) {
         mMinMillis = minMillis;
         mMaxMillis = maxMillis;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/PlatformAdapter.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/PlatformAdapter.java
@@ -3,7 +3,7 @@
 import org.cyclamenpaddle.engine.http.BackendConnections;
 import org.cyclamenpaddle.relay.backend.Backend;
 import org.cyclamenpaddle.relay.host.HostStore;
-import org.cyclamenpaddle.relay.role.EngineOrders;
+import org.cyclamenpaddle.relay.role.EngineOrderClient;
 import org.cyclamenpaddle.relay.role.LeaseStore;
 import org.cyclamenpaddle.relay.route.RelayConfiguration;
 import org.cyclamenpaddle.relay.store.EntrySource;
@@ -32,5 +32,5 @@
         EngineMessages engineMessages,
         HostStore hosts,
         LeaseStore lease,
-        EngineOrders orders,
+        EngineOrderClient orders,
         BackendConnections connections) {}
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -32,8 +32,8 @@
 import org.cyclamenpaddle.relay.front.SharedRetryBudget;
 import org.cyclamenpaddle.relay.front.StartupGate;
 import org.cyclamenpaddle.relay.host.HostRegistry;
-import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.log.RelayEvent;
+import org.cyclamenpaddle.relay.log.RelayEventLog;
 import org.cyclamenpaddle.relay.metric.RelayMetrics;
 import org.cyclamenpaddle.relay.role.DemandMeter;
 import org.cyclamenpaddle.relay.role.RoleAllocation;
@@ -72,7 +72,7 @@
     private volatile RelaySettings mCurrentSettings;
     private final Clock mClock = new MonotonicClock();
     private final DoubleSupplier mRandom = () -> ThreadLocalRandom.current().nextDouble();
-    private final DecisionLog mLog;
+    private final RelayEventLog mLog;
     private final RelayMetrics mMetrics = new RelayMetrics();
     private final ConfigurationCell mConfiguration = new ConfigurationCell();
     private final BackendConnections mConnections;
@@ -80,7 +80,7 @@
             Executors.newSingleThreadScheduledExecutor(RelayProcess::daemon);
     private final DemandMeter mDemand = new DemandMeter();
     private final SharedRetryBudget mBudget;
-    private final BackendRegistry mBoard;
+    private final BackendRegistry mRegistry;
     private final StartupGate mStartupGate = new StartupGate();
     private final StateUpdater mUpdater;
     private final RelayService mService;
@@ -101,26 +101,26 @@
             RelaySettings settings,
             Supplier<Either<String, RelaySettings>> reader,
             PlatformAdapter adapter,
-            DecisionLog log) {
+            RelayEventLog log) {
         mSettings = settings;
         mCurrentSettings = settings;
         mSettingsReader = reader;
         mAdapter = adapter;
         mConnections = adapter.connections();
         mLog = log;
-        mBoard =
+        mRegistry =
                 new BackendRegistry(
                         new FailureDomain(settings.host().domain()),
                         CostSettings.DEFAULTS,
                         mRandom);
         mUpdater =
                 new StateUpdater(
-                        mLog, mConfiguration, mBoard, mClock, mStartupGate, this::logReady);
+                        mLog, mConfiguration, mRegistry, mClock, mStartupGate, this::logReady);
         RelaySettings.Retry retry = settings.retry();
         mBudget = new SharedRetryBudget(retry.share(), retry.slack(), retry.windowMillis(), mClock);
         RelayContext relay =
                 new RelayContext(
-                        mBoard,
+                        mRegistry,
                         mBudget,
                         mDemand,
                         new Table<>(TableOrder.CALLERS, new ReturningClients()),
@@ -138,7 +138,7 @@
         mCallerServer = callerServer();
         mCheckServer = checkServer();
         mMetrics.gauge("requests_in_flight", mService::inFlight);
-        mMetrics.gauge("backends_named", mBoard::size);
+        mMetrics.gauge("backends_named", mRegistry::size);
         mMetrics.gauge("configuration_version", mConfiguration::version);
     }
 
@@ -239,7 +239,7 @@
         return new RoleController(
                 incarnation,
                 new RoleController.Dependencies(
-                        mBoard,
+                        mRegistry,
                         mDemand,
                         new RoleAllocation(),
                         mAdapter.orders(),
@@ -299,7 +299,7 @@
                 RelayEvent.READY,
                 mConfiguration.version(),
                 mConfiguration.inForce().map(RelayConfiguration::routes).orElse(0),
-                mBoard.size());
+                mRegistry.size());
     }
 
     private static Thread daemon(Runnable work) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/StateUpdater.java
@@ -10,21 +10,22 @@
 import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.front.ConfigurationCell;
 import org.cyclamenpaddle.relay.front.StartupGate;
-import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.log.RelayEvent;
+import org.cyclamenpaddle.relay.log.RelayEventLog;
 import org.cyclamenpaddle.relay.route.RelayConfiguration;
-import org.cyclamenpaddle.relay.store.Entry;
 import org.cyclamenpaddle.relay.store.EntryListener;
+import org.cyclamenpaddle.relay.store.StoreEntry;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
- * Applies changes from the store to the configuration and the backend board, and logs each of them.
+ * Applies changes from the store to the configuration and the backend registry, and logs each of
+ * them.
  */
 final class StateUpdater {
 
-    private final DecisionLog mLog;
+    private final RelayEventLog mLog;
     private final ConfigurationCell mConfiguration;
-    private final BackendRegistry mBoard;
+    private final BackendRegistry mRegistry;
     private final Clock mClock;
     private final StartupGate mStartupGate;
     private final Runnable mOnComplete;
@@ -38,9 +39,9 @@
      * @param onComplete run once, as soon as requests can be routed
      */
     StateUpdater(
-            DecisionLog log,
+            RelayEventLog log,
             ConfigurationCell configuration,
-            BackendRegistry board,
+            BackendRegistry registry,
             Clock clock,
             StartupGate startupGate,
             Runnable onComplete) {
@@ -48,7 +49,7 @@
         mOnComplete = onComplete;
         mLog = log;
         mConfiguration = configuration;
-        mBoard = board;
+        mRegistry = registry;
         mClock = clock;
     }
 
@@ -80,14 +81,14 @@
     private final class ConfigurationListener implements EntryListener<RelayConfiguration> {
 
         @Override
-        public void onListing(List<Entry<RelayConfiguration>> entries) {
+        public void onListing(List<StoreEntry<RelayConfiguration>> entries) {
             entries.forEach(this::onChange);
             mConfiguration.confirmed(true);
             reportIfComplete();
         }
 
         @Override
-        public void onChange(Entry<RelayConfiguration> entry) {
+        public void onChange(StoreEntry<RelayConfiguration> entry) {
             long previousVersion = mConfiguration.version();
             if (entry.value().isLeft()) {
                 mLog.log(
@@ -109,34 +110,34 @@
         public void onStoreUnavailable(StoreFailure failure) {
             mStartupGate.open();
             mConfiguration.confirmed(false);
-            mLog.log(RelayEvent.STORE_UNREACHABLE, "configuration", failure);
+            mLog.log(RelayEvent.STORE_UNAVAILABLE, "configuration", failure);
         }
 
         @Override
-        public void onStoreAvailable(long awayMillis) {
+        public void onStoreAvailable(long unavailableMillis) {
             mConfiguration.confirmed(true);
-            mLog.log(RelayEvent.STORE_REACHABLE, "configuration", awayMillis);
+            mLog.log(RelayEvent.STORE_AVAILABLE, "configuration", unavailableMillis);
         }
     }
 
     private final class BackendListener implements EntryListener<Backend> {
 
         @Override
-        public void onListing(List<Entry<Backend>> entries) {
+        public void onListing(List<StoreEntry<Backend>> entries) {
             Map<BackendId, Backend> named = new HashMap<>();
             entries.forEach(
                     entry -> entry.value().forEach(backend -> named.put(backend.id(), backend)));
-            mBoard.applyListing(named, mClock.millis());
+            mRegistry.applyListing(named, mClock.millis());
             mBackendsListed = true;
             mLog.log(RelayEvent.BACKENDS_LISTED, named.size(), entries.size() - named.size());
             reportIfComplete();
         }
 
         @Override
-        public void onChange(Entry<Backend> entry) {
+        public void onChange(StoreEntry<Backend> entry) {
             Optional<Backend> backend = entry.value().toJavaOptional();
             backendId(entry.name())
-                    .ifPresent(id -> mBoard.applyChange(id, backend, mClock.millis()));
+                    .ifPresent(id -> mRegistry.applyChange(id, backend, mClock.millis()));
             if (backend.isPresent()) {
                 Backend now = backend.get();
                 mLog.log(
@@ -153,12 +154,12 @@
         @Override
         public void onStoreUnavailable(StoreFailure failure) {
             mStartupGate.open();
-            mLog.log(RelayEvent.STORE_UNREACHABLE, "backends", failure);
+            mLog.log(RelayEvent.STORE_UNAVAILABLE, "backends", failure);
         }
 
         @Override
-        public void onStoreAvailable(long awayMillis) {
-            mLog.log(RelayEvent.STORE_REACHABLE, "backends", awayMillis);
+        public void onStoreAvailable(long unavailableMillis) {
+            mLog.log(RelayEvent.STORE_AVAILABLE, "backends", unavailableMillis);
         }
 
         private Optional<BackendId> backendId(String name) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendRegistry.java
@@ -157,7 +157,7 @@
                                 state.recordStart(prefillEngine, size, nowMillis);
                                 // Prefilled remotely, it delays no other prompt at the decode
                                 // engine.
-                                state.stateOf(decodeEngine).openWork().recordPrefillDone(size);
+                                state.stateOf(decodeEngine).inFlightWork().recordPrefillDone(size);
                             });
                     return chosen;
                 });
@@ -227,7 +227,7 @@
 
     /** Records that a server has completed the prefill of a prompt. */
     public void recordPrefillDone(Backend backend, WorkSize size) {
-        mTable.write(state -> state.stateOf(backend).openWork().recordPrefillDone(size));
+        mTable.write(state -> state.stateOf(backend).inFlightWork().recordPrefillDone(size));
     }
 
     /**
@@ -275,7 +275,7 @@
         return mTable.read(
                 state -> {
                     BackendState backendState = state.stateOf(backend);
-                    backendState.openWork().recordEnd(size, prefillDone);
+                    backendState.inFlightWork().recordEnd(size, prefillDone);
                     if (outcome == SendOutcome.MISDIRECTED) {
                         backendState.recordOutdated(backend, nowMillis);
                     }
@@ -314,8 +314,8 @@
 
     private double requestCost(State state, Backend backend, long nowMillis) {
         BackendState backendState = state.stateOf(backend);
-        return prefillMillis(state, backend, backendState.openWork().pendingPromptTokens())
-                + backendState.openWork().requests() * mCosts.requestMillis()
+        return prefillMillis(state, backend, backendState.inFlightWork().pendingPromptTokens())
+                + backendState.inFlightWork().requests() * mCosts.requestMillis()
                 + (backend.domain().equals(mOwnDomain) ? 0 : mCosts.crossDomainMillis())
                 + backendState.health().failureRate(nowMillis) * mCosts.failureMillis()
                 + backendState.fullness(nowMillis) * mCosts.fullMillis()
@@ -342,7 +342,10 @@
         BackendState backendState = state.stateOf(decodeEngine);
         // Local prefill delays every generation that runs on the decode engine.
         double localCost =
-                prefillMillis(state, decodeEngine, backendState.openWork().pendingPromptTokens())
+                prefillMillis(
+                                        state,
+                                        decodeEngine,
+                                        backendState.inFlightWork().pendingPromptTokens())
                                 * (1 + backendState.runningGenerations(nowMillis))
                         + backendState.excessWaitMillis(nowMillis);
         return cheapest(
@@ -365,7 +368,7 @@
         return prefillMillis(
                         state,
                         prefillEngine,
-                        backendState.openWork().pendingPromptTokens() + size.promptTokens())
+                        backendState.inFlightWork().pendingPromptTokens() + size.promptTokens())
                 + mCosts.kvTransferMillis()
                 + (prefillEngine.domain().equals(decodeEngine.domain())
                         ? 0
@@ -376,6 +379,6 @@
 
     private static boolean unused(State state, BackendId id) {
         return state.mDirectory.find(id).isEmpty()
-                && state.mStates.get(id).openWork().requests() == 0;
+                && state.mStates.get(id).inFlightWork().requests() == 0;
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendState.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/BackendState.java
@@ -49,7 +49,7 @@
     static final long REPORT_MAX_AGE_MILLIS = 2_000;
 
     private final long mStartedMillis;
-    private final OpenWork mOpenWork = new OpenWork();
+    private final InFlightWork mInFlightWork = new InFlightWork();
     private final BackendHealth mHealth = new BackendHealth();
     private final MovingAverage mExcessWait = new MovingAverage(NEWEST_WEIGHT, HALF_LIFE_MILLIS);
     private long mFullUntilMillis = Long.MIN_VALUE / 2;
@@ -69,8 +69,8 @@
         return mStartedMillis;
     }
 
-    OpenWork openWork() {
-        return mOpenWork;
+    InFlightWork inFlightWork() {
+        return mInFlightWork;
     }
 
     BackendHealth health() {
@@ -78,7 +78,7 @@
     }
 
     void recordStart(WorkSize size) {
-        mOpenWork.recordStart(size);
+        mInFlightWork.recordStart(size);
         mHealth.recordSend();
     }
 
@@ -120,7 +120,7 @@
     int runningGenerations(long nowMillis) {
         int reported =
                 report(nowMillis).map(report -> report.report().generations().size()).orElse(0);
-        return Math.max(reported, mOpenWork.requests() - 1);
+        return Math.max(reported, mInFlightWork.requests() - 1);
     }
 
     /** Records that an entry does not, or no longer, describe the server. */
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/OpenWork.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/InFlightWork.java
@@ -1,7 +1,7 @@
 package org.cyclamenpaddle.relay.backend;
 
 /** Tracks this host's own in-flight work on one backend server; not thread-safe. */
-final class OpenWork {
+final class InFlightWork {
 
     private int mRequests;
     private long mPendingPromptTokens;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -249,10 +249,10 @@
         mResponseStarted = true;
         long now = mRelay.clock().millis();
         mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
-        mRelay.board().recordFirstByte(target(), latencySize(), now - mStartMillis, now);
+        mRelay.registry().recordFirstByte(target(), latencySize(), now - mStartMillis, now);
         if (!mPrefilled) {
             mPrefilled = true;
-            mRelay.board().recordPrefillDone(target(), mRequest.caller().size());
+            mRelay.registry().recordPrefillDone(target(), mRequest.caller().size());
         }
     }
 
@@ -308,7 +308,7 @@
         mEnded = true;
         mSilenceTimeout.ifPresent(timer -> timer.cancel(false));
         boolean ejected =
-                mRelay.board()
+                mRelay.registry()
                         .recordOutcome(
                                 target(),
                                 mRequest.caller().size(),
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/GrowthCapacity.java
@@ -54,7 +54,7 @@
      *     take the request
      */
     void requiredTokens(Backend engine, ReservationWait wait, Consumer<OptionalLong> done) {
-        if (mRelay.board().reportDue(engine, mRelay.clock().millis())) {
+        if (mRelay.registry().reportDue(engine, mRelay.clock().millis())) {
             fetchReport(engine, () -> done.accept(requiredTokensNow(engine, wait)));
         } else {
             done.accept(requiredTokensNow(engine, wait));
@@ -63,16 +63,16 @@
 
     private OptionalLong requiredTokensNow(Backend engine, ReservationWait wait) {
         long now = mRelay.clock().millis();
-        EngineProfile shape = mRequest.engine().orElseThrow();
+        EngineProfile profile = mRequest.engine().orElseThrow();
         WorkSize size = mRequest.caller().size();
         TimedReport none = new TimedReport(new EngineReport(0, false, List.of()), now);
-        TimedReport report = mRelay.board().report(engine, now).orElse(none);
+        TimedReport report = mRelay.registry().report(engine, now).orElse(none);
         OptionalLong growth =
                 mRelay.demand()
                         .requiredFreeTokens(
                                 mRequest.service(),
-                                shape,
-                                report.report().runningWork(shape.tokensPerEvent()),
+                                profile,
+                                report.report().runningWork(profile.tokensPerEvent()),
                                 report.ageMillis(now) + REPORT_DELAY_MILLIS,
                                 size);
         long reserved = wait.headroomTokens(now, size.memoryTokens(), averageTokens());
@@ -109,7 +109,7 @@
                         : Either.left(String.valueOf(failure));
         report.peek(
                         decoded ->
-                                mRelay.board()
+                                mRelay.registry()
                                         .recordReport(engine, decoded, mRelay.clock().millis()))
                 .peekLeft(cause -> mRelay.log().log(RelayEvent.REPORT_FAILED, engine.id(), cause));
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -156,7 +156,8 @@
             return;
         }
         long now = mRelay.clock().millis();
-        mRelay.board().recordFirstByte(mEngine, mRequest.caller().size(), now - mStartMillis, now);
+        mRelay.registry()
+                .recordFirstByte(mEngine, mRequest.caller().size(), now - mStartMillis, now);
         end(SendOutcome.SUCCEEDED);
         mDone.accept(Optional.of(handle.get()));
     }
@@ -187,7 +188,7 @@
         long timeoutMillis = silenceTimeoutMillis();
         long maxMillis = (long) (mRequest.route().silenceMillis() * QUEUE_TIMEOUT_SHARE);
         long remainingMillis = mStartMillis + maxMillis - now;
-        boolean engineResponds = mRelay.board().respondedSince(mEngine, mStartMillis);
+        boolean engineResponds = mRelay.registry().respondedSince(mEngine, mStartMillis);
         if (engineResponds && remainingMillis > 0) {
             mSilenceTimeout =
                     mLoop.schedule(
@@ -216,6 +217,6 @@
         mEnded = true;
         mSilenceTimeout.cancel(false);
         long now = mRelay.clock().millis();
-        mRelay.board().recordOutcome(mEngine, mRequest.caller().size(), false, outcome, now);
+        mRelay.registry().recordOutcome(mEngine, mRequest.caller().size(), false, outcome, now);
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -5,7 +5,7 @@
 import org.cyclamenpaddle.core.time.Clock;
 import org.cyclamenpaddle.engine.http.BackendConnections;
 import org.cyclamenpaddle.relay.backend.BackendRegistry;
-import org.cyclamenpaddle.relay.log.DecisionLog;
+import org.cyclamenpaddle.relay.log.RelayEventLog;
 import org.cyclamenpaddle.relay.metric.RelayMetrics;
 import org.cyclamenpaddle.relay.role.DemandMeter;
 import org.cyclamenpaddle.relay.wire.BackendMessages;
@@ -15,7 +15,7 @@
 /**
  * Dependencies shared by the exchanges of all requests.
  *
- * @param board state of the backend servers
+ * @param registry state of the backend servers
  * @param budget retry budget
  * @param demand measured demand of generations
  * @param returningClients how long callers wait and whether they retry, by route
@@ -28,14 +28,14 @@
  * @param random source of uniform numbers from 0 to 1
  */
 public record RelayContext(
-        BackendRegistry board,
+        BackendRegistry registry,
         SharedRetryBudget budget,
         DemandMeter demand,
         Table<ReturningClients> returningClients,
         BackendConnections connections,
         BackendMessages backendMessages,
         EngineMessages engineMessages,
-        DecisionLog log,
+        RelayEventLog log,
         RelayMetrics metrics,
         Clock clock,
         DoubleSupplier random) {}
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
@@ -17,7 +17,7 @@
  * @param body complete body
  * @param route matching route
  * @param service the route's service that was selected
- * @param engine engine shape of that service; empty for a plain service
+ * @param engine engine profile of that service; empty for a plain service
  * @param version version of the configuration used
  */
 record RelayRequest(
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RequestExchange.java
@@ -98,7 +98,7 @@
             return;
         }
         Optional<Backend> backend =
-                mRelay.board()
+                mRelay.registry()
                         .select(
                                 mRequest.service(),
                                 mRequest.caller().size(),
@@ -123,7 +123,7 @@
         mPlacementMillis = now - mStartMillis;
         ReservationSearch.Placement placement = found.get();
         mPrefillEngine =
-                mRelay.board()
+                mRelay.registry()
                         .selectPrefillEngine(placement.backend(), mRequest.caller().size(), now);
         if (mPrefillEngine.isEmpty()) {
             send(placement, Optional.empty());
@@ -161,7 +161,7 @@
     }
 
     private void release(Backend backend) {
-        mRelay.board()
+        mRelay.registry()
                 .recordOutcome(
                         backend,
                         mRequest.caller().size(),
@@ -239,8 +239,8 @@
      */
     private void rejectedDespiteReservation(Backend target) {
         if (mRequest.engine().isPresent()) {
-            mRelay.board().recordOutdated(target, mRelay.clock().millis());
-            mFailedPrefillEngine.ifPresent(mRelay.board()::recordAlive);
+            mRelay.registry().recordOutdated(target, mRelay.clock().millis());
+            mFailedPrefillEngine.ifPresent(mRelay.registry()::recordAlive);
         }
     }
 
@@ -288,8 +288,8 @@
         mRelay.metrics().recordRetry(SendOutcome.UNKNOWN);
         mResponse.discardPartial();
         mPrefillEngine = Optional.empty();
-        mRelay.board().recordAlive(attempt.target());
-        mRelay.board().recordResend(attempt.target(), mRequest.caller().size());
+        mRelay.registry().recordAlive(attempt.target());
+        mRelay.registry().recordResend(attempt.target(), mRequest.caller().size());
         open(new ReservationSearch.Placement(attempt.target(), reservation), Optional.empty());
     }
 
@@ -305,7 +305,7 @@
         long now = mRelay.clock().millis();
         mFailedPrefillEngine = mPrefillEngine;
         mFailedPrefillEngine.ifPresent(
-                prefillEngine -> mRelay.board().recordPrefillResultLost(prefillEngine, now));
+                prefillEngine -> mRelay.registry().recordPrefillResultLost(prefillEngine, now));
         mPrefillEngine = Optional.empty();
         boolean again = mRetryPolicy.resendToSameBackend(now, this::takeRetry);
         if (!again) {
@@ -314,7 +314,7 @@
         }
         mRequestLog.attemptEnded(attempt, SendOutcome.REJECTED, cause, RetryDecision.SEND_AGAIN);
         mRelay.metrics().recordRetry(SendOutcome.REJECTED);
-        mRelay.board().recordResend(attempt.target(), mRequest.caller().size());
+        mRelay.registry().recordResend(attempt.target(), mRequest.caller().size());
         open(new ReservationSearch.Placement(attempt.target(), Optional.empty()), Optional.empty());
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -96,7 +96,7 @@
         Optional<Backend> selected =
                 mReservePacing.pauseIsDue()
                         ? Optional.empty()
-                        : mRelay.board().select(mRequest.service(), size(), mAvoid, now);
+                        : mRelay.registry().select(mRequest.service(), size(), mAvoid, now);
         if (selected.isPresent()) {
             reserve(selected.get());
         } else if (!mReservationWait.mayRetry(now)) {
@@ -174,7 +174,7 @@
         mPending = Optional.empty();
         release(engine, result.outcome());
         if (result.full()) {
-            mRelay.board().recordFull(engine, mRelay.clock().millis());
+            mRelay.registry().recordFull(engine, mRelay.clock().millis());
             mReservePacing.rejected();
         } else {
             mAvoid.add(engine.id());
@@ -188,7 +188,7 @@
     }
 
     private void release(Backend engine, SendOutcome outcome) {
-        mRelay.board().recordOutcome(engine, size(), false, outcome, mRelay.clock().millis());
+        mRelay.registry().recordOutcome(engine, size(), false, outcome, mRelay.clock().millis());
     }
 
     private WorkSize size() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.cyclamenpaddle.relay.store.Entry;
+import org.cyclamenpaddle.relay.store.StoreEntry;
 
 /**
  * Counts the hosts whose entries change regularly; not thread-safe.
@@ -30,7 +30,7 @@
     private final Map<String, Observation> mObservations = new HashMap<>();
 
     /** Applies a listing and returns the hosts whose entries should be removed. */
-    List<String> applyListing(List<Entry<Long>> entries, long nowMillis) {
+    List<String> applyListing(List<StoreEntry<Long>> entries, long nowMillis) {
         Map<String, Observation> previous = new HashMap<>(mObservations);
         mObservations.clear();
         entries.forEach(
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
@@ -8,9 +8,9 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.IntConsumer;
 import org.cyclamenpaddle.core.time.Clock;
-import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.log.RelayEvent;
-import org.cyclamenpaddle.relay.store.Entry;
+import org.cyclamenpaddle.relay.log.RelayEventLog;
+import org.cyclamenpaddle.relay.store.StoreEntry;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
@@ -39,7 +39,7 @@
     private final String mHost;
     private final HostStore mStore;
     private final IntConsumer mListener;
-    private final DecisionLog mLog;
+    private final RelayEventLog mLog;
     private final ScheduledExecutorService mExecutor;
     private final Clock mClock;
     private final DoubleSupplier mRandom;
@@ -63,7 +63,7 @@
             String host,
             HostStore store,
             IntConsumer listener,
-            DecisionLog log,
+            RelayEventLog log,
             ScheduledExecutorService executor,
             Clock clock,
             DoubleSupplier random) {
@@ -95,7 +95,7 @@
                 .thenAcceptAsync(this::update, mExecutor);
     }
 
-    private void update(Either<StoreFailure, List<Entry<Long>>> entries) {
+    private void update(Either<StoreFailure, List<StoreEntry<Long>>> entries) {
         if (entries.isLeft()) {
             scheduleRound(RETRY_DELAY_MILLIS);
             return;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostStore.java
@@ -3,7 +3,7 @@
 import io.vavr.control.Either;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.cyclamenpaddle.relay.store.Entry;
+import org.cyclamenpaddle.relay.store.StoreEntry;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /** Store in which hosts register; its futures never fail. */
@@ -19,7 +19,7 @@
     CompletableFuture<Boolean> announce(String host, long heartbeat);
 
     /** Returns the latest heartbeat of each registered host. */
-    CompletableFuture<Either<StoreFailure, List<Entry<Long>>>> heartbeats();
+    CompletableFuture<Either<StoreFailure, List<StoreEntry<Long>>>> heartbeats();
 
     /** Removes the entry of a host that has stopped. */
     CompletableFuture<Boolean> remove(String host);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
@@ -17,9 +17,9 @@
 
     private static final class DecisionLogHandler extends Handler {
 
-        private final DecisionLog mLog;
+        private final RelayEventLog mLog;
 
-        private DecisionLogHandler(DecisionLog log) {
+        private DecisionLogHandler(RelayEventLog log) {
             mLog = log;
             setLevel(Level.WARNING);
         }
@@ -49,7 +49,7 @@
     private LibraryLog() {}
 
     /** Redirects warnings and errors of all libraries from standard error to a log. */
-    public static void install(DecisionLog log) {
+    public static void install(RelayEventLog log) {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         Arrays.stream(root.getHandlers()).forEach(root::removeHandler);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/RelayEvent.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/RelayEvent.java
@@ -18,8 +18,8 @@
     LIBRARY_WARNING(
             2007, Priority.DIAGNOSTIC, "library warning", List.of("logger", "text", "failure")),
 
-    STORE_UNREACHABLE(2101, Priority.STATE, "store calls fail", List.of("kind", "failure")),
-    STORE_REACHABLE(
+    STORE_UNAVAILABLE(2101, Priority.STATE, "store calls fail", List.of("kind", "failure")),
+    STORE_AVAILABLE(
             2102, Priority.STATE, "store calls succeed again", List.of("kind", "awayMillis")),
     CONFIGURATION_IN_FORCE(
             2103, Priority.STATE, "configuration in force", List.of("version", "was", "routes")),
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/DecisionLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/RelayEventLog.java
@@ -19,7 +19,7 @@
  * queue fills up, ordinary lines are dropped first and lines that explain failures last; the number
  * of dropped lines is logged in a line of its own. Thread-safe.
  */
-public final class DecisionLog {
+public final class RelayEventLog {
 
     /** Capacity of the queue in lines; at about 300 bytes a line it stays under 700 KB. */
     static final int QUEUE_LINES = 2_048;
@@ -38,7 +38,7 @@
      * @param host name of this host
      * @param wallClock time of day, for display only
      */
-    public DecisionLog(OutputStream out, String host, Supplier<Instant> wallClock) {
+    public RelayEventLog(OutputStream out, String host, Supplier<Instant> wallClock) {
         mOut = out;
         mHost = host;
         mWallClock = wallClock;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrders.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineOrderClient.java
@@ -8,7 +8,7 @@
  * Client for orders to engines; its futures never fail, and errors are returned as one line of
  * text.
  */
-public interface EngineOrders {
+public interface EngineOrderClient {
 
     /**
      * Requests the number of orders that an engine has accepted.
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/EngineLoad.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/GenerationCost.java
@@ -9,9 +9,9 @@
  * @param decodeMemoryMillis time of one decode engine if the generation occupied all its memory, in
  *     milliseconds
  */
-public record EngineLoad(double prefillMillis, double decodeMemoryMillis) {
+public record GenerationCost(double prefillMillis, double decodeMemoryMillis) {
 
-    public EngineLoad {
+    public GenerationCost {
         if (prefillMillis <= 0 || decodeMemoryMillis <= 0) {
             throw new IllegalArgumentException(
                     "load must be above 0: prefill ms "
@@ -29,9 +29,9 @@
      * @param prefillTokensPerMilli prefill throughput of an engine, in prompt tokens per
      *     millisecond
      */
-    static EngineLoad of(Demand demand, EngineProfile profile, double prefillTokensPerMilli) {
+    static GenerationCost of(Demand demand, EngineProfile profile, double prefillTokensPerMilli) {
         double heldTokens = demand.promptTokens() + demand.outputTokens() / 2;
-        return new EngineLoad(
+        return new GenerationCost(
                 Math.max(1, demand.promptTokens()) / prefillTokensPerMilli,
                 Math.max(1, heldTokens * demand.decodeMillis() / profile.memoryTokens()));
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
@@ -51,22 +51,22 @@
      * @param load load of a mean generation; empty until it is known
      * @return the change; empty if none is needed
      */
-    public Optional<StageChange> nextChange(List<Backend> engines, Optional<EngineLoad> load) {
+    public Optional<StageChange> nextChange(List<Backend> engines, Optional<GenerationCost> load) {
         if (engines.size() < 2) {
             return Optional.empty();
         }
         int prefill = (int) count(engines, BackendStage.PREFILL);
-        int wanted = wantedPrefill(engines.size(), prefill, load);
-        if (prefill > wanted) {
+        int target = targetPrefillEngines(engines.size(), prefill, load);
+        if (prefill > target) {
             return change(engines, BackendStage.PREFILL, BackendStage.DECODE);
         }
-        return prefill < wanted
+        return prefill < target
                 ? change(engines, BackendStage.DECODE, BackendStage.PREFILL)
                 : Optional.empty();
     }
 
     /** Returns how many of {@code engines} should prefill, from 1 to all but one. */
-    int wantedPrefill(int engines, int prefill, Optional<EngineLoad> load) {
+    int targetPrefillEngines(int engines, int prefill, Optional<GenerationCost> load) {
         if (load.isEmpty()) {
             return Math.max(
                     1,
@@ -88,7 +88,7 @@
     }
 
     /** Returns the generations per millisecond that a split can serve. */
-    static double generationsPerMilli(int engines, int prefill, EngineLoad load) {
+    static double generationsPerMilli(int engines, int prefill, GenerationCost load) {
         double prefillRate = prefill * MAX_PREFILL_UTILIZATION / load.prefillMillis();
         double decodeRate =
                 (engines - prefill) * MAX_DECODE_UTILIZATION / load.decodeMemoryMillis();
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
@@ -16,14 +16,14 @@
 import org.cyclamenpaddle.relay.backend.Backend;
 import org.cyclamenpaddle.relay.backend.BackendRegistry;
 import org.cyclamenpaddle.relay.backend.BackendStage;
-import org.cyclamenpaddle.relay.log.DecisionLog;
 import org.cyclamenpaddle.relay.log.RelayEvent;
+import org.cyclamenpaddle.relay.log.RelayEventLog;
 import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.relay.store.StoreFailure;
 
 /**
  * Controller that maintains the lease and, while it holds the lease, reconciles the stages of the
- * engines with the wanted allocation.
+ * engines with the target allocation.
  *
  * <p>Everything runs on one thread; at most one store call and one order are in progress.
  */
@@ -55,7 +55,7 @@
     /**
      * Collaborators of the controller.
      *
-     * @param board registry of the backend servers
+     * @param registry registry of the backend servers
      * @param demand demand of the generations
      * @param plan allocation of stages
      * @param orders client for orders to engines
@@ -66,9 +66,9 @@
             BackendRegistry registry,
             DemandMeter demand,
             RoleAllocation allocation,
-            EngineOrders orders,
+            EngineOrderClient orders,
             LeaseStore store,
-            DecisionLog log) {}
+            RelayEventLog log) {}
 
     /** Supplies the services whose engines are managed, with the profiles of their engines. */
     public interface EngineServices {
@@ -208,12 +208,12 @@
                 : Optional.empty();
     }
 
-    private Optional<EngineLoad> load(ServiceName service, EngineProfile profile) {
+    private Optional<GenerationCost> load(ServiceName service, EngineProfile profile) {
         double tokensPerMilli = mDependencies.registry().prefillTokensPerMilli(service);
         return mDependencies
                 .demand()
                 .of(service)
-                .map(demand -> EngineLoad.of(demand, profile, tokensPerMilli));
+                .map(demand -> GenerationCost.of(demand, profile, tokensPerMilli));
     }
 
     private Backend withPendingStage(Backend engine) {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryListener.java
@@ -10,14 +10,14 @@
 public interface EntryListener<T> {
 
     /** Called with a complete listing. */
-    void onListing(List<Entry<T>> entries);
+    void onListing(List<StoreEntry<T>> entries);
 
     /** Called with one changed object. */
-    void onChange(Entry<T> entry);
+    void onChange(StoreEntry<T> entry);
 
     /** Called when store calls begin to fail. */
     void onStoreUnavailable(StoreFailure failure);
 
     /** Called when store calls succeed again, before their results are delivered. */
-    void onStoreAvailable(long awayMillis);
+    void onStoreAvailable(long unavailableMillis);
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryPage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/EntryPage.java
@@ -10,7 +10,7 @@
  * @param more whether the listing continues after the last entry
  * @param <T> type of the objects' content
  */
-public record EntryPage<T>(List<Entry<T>> entries, long revision, boolean more) {
+public record EntryPage<T>(List<StoreEntry<T>> entries, long revision, boolean more) {
 
     public EntryPage {
         entries = List.copyOf(entries);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Follower.java
@@ -65,7 +65,7 @@
     private final ScheduledExecutorService mExecutor;
     private final Clock mClock;
     private final DoubleSupplier mRandom;
-    private final List<Entry<T>> mListing = new ArrayList<>();
+    private final List<StoreEntry<T>> mListing = new ArrayList<>();
     private long mRevision;
     private long mSequence;
     private int mFailures;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/Entry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/store/StoreEntry.java
@@ -9,9 +9,9 @@
  * @param value its content; left: the reason that it cannot be used, including its removal
  * @param <T> type of the content
  */
-public record Entry<T>(String name, Either<String, T> value) {
+public record StoreEntry<T>(String name, Either<String, T> value) {
 
-    public Entry {
+    public StoreEntry {
         if (name == null || value == null) {
             throw new IllegalArgumentException("entry needs a name and a value");
         }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/host/HostCountTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/host/HostCountTest.java
@@ -4,14 +4,14 @@
 
 import io.vavr.control.Either;
 import java.util.List;
-import org.cyclamenpaddle.relay.store.Entry;
+import org.cyclamenpaddle.relay.store.StoreEntry;
 import org.testng.annotations.Test;
 
 /** Tests that hosts count while their entries change, and that stale entries are removed. */
 public class HostCountTest {
 
-    private static Entry<Long> entry(String host, long heartbeat) {
-        return new Entry<>(host, Either.right(heartbeat));
+    private static StoreEntry<Long> entry(String host, long heartbeat) {
+        return new StoreEntry<>(host, Either.right(heartbeat));
     }
 
     @Test
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
@@ -23,7 +23,7 @@
     @Test
     public void warningIsOneStructuredLine() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        DecisionLog log = new DecisionLog(out, "h", () -> Instant.EPOCH);
+        RelayEventLog log = new RelayEventLog(out, "h", () -> Instant.EPOCH);
         LibraryLog.install(log);
         Logger library = Logger.getLogger("some.library");
         library.info("all is well");
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/DecisionLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/RelayEventLogTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** Tests that lines are complete and that a blocked reader of the output blocks no request. */
-public class DecisionLogTest {
+public class RelayEventLogTest {
 
     private final ByteArrayOutputStream mOut = new ByteArrayOutputStream();
 
@@ -24,8 +24,8 @@
         mOut.reset();
     }
 
-    private DecisionLog log(OutputStream out) {
-        return new DecisionLog(out, "host-1", () -> Instant.EPOCH);
+    private RelayEventLog log(OutputStream out) {
+        return new RelayEventLog(out, "host-1", () -> Instant.EPOCH);
     }
 
     private List<String> lines() {
@@ -34,7 +34,7 @@
 
     @Test
     public void lineNamesEventAndFieldsAndCannotBeForged() {
-        DecisionLog log = log(mOut);
+        RelayEventLog log = log(mOut);
         log.log(RelayEvent.BACKEND_REMOVED, "i-1", "a \"quote\"\nand a line");
         log.flush();
         assertEquals(
@@ -53,17 +53,17 @@
      */
     @Test
     public void fullQueueDropsOrdinaryLinesFirstAndReportsTheirNumber() {
-        DecisionLog log = log(mOut);
-        IntStream.range(0, DecisionLog.QUEUE_LINES)
+        RelayEventLog log = log(mOut);
+        IntStream.range(0, RelayEventLog.QUEUE_LINES)
                 .forEach(i -> log.log(RelayEvent.RELEASE_FAILED, "i-1", i));
-        log.log(RelayEvent.STORE_UNREACHABLE, "configuration", "NO_ANSWER");
+        log.log(RelayEvent.STORE_UNAVAILABLE, "configuration", "NO_ANSWER");
         log.flush();
-        int written = DecisionLog.QUEUE_LINES * 3 / 4;
+        int written = RelayEventLog.QUEUE_LINES * 3 / 4;
         assertEquals(lines().size(), written + 2);
         assertTrue(lines().get(written).contains("CP2101"));
         assertTrue(
                 lines().get(written + 1)
-                        .contains("\"lines\":" + (DecisionLog.QUEUE_LINES - written)));
+                        .contains("\"lines\":" + (RelayEventLog.QUEUE_LINES - written)));
     }
 
     @Test
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/RoleAllocationTest.java
@@ -33,10 +33,10 @@
 
     private final RoleAllocation mAllocation = new RoleAllocation();
 
-    private static Optional<EngineLoad> load(
+    private static Optional<GenerationCost> load(
             double output, double decodeMillis, EngineProfile profile) {
         Demand demand = new Demand(5_200, output, decodeMillis);
-        return Optional.of(EngineLoad.of(demand, profile, PREFILL_TOKENS_PER_MILLI));
+        return Optional.of(GenerationCost.of(demand, profile, PREFILL_TOKENS_PER_MILLI));
     }
 
     private static List<Backend> engines(int prefill, int decode) {
@@ -58,7 +58,7 @@
     }
 
     /** Applies changes until none is needed, and returns the number of prefill engines. */
-    private int converge(List<Backend> engines, Optional<EngineLoad> load) {
+    private int converge(List<Backend> engines, Optional<GenerationCost> load) {
         List<Backend> now = new ArrayList<>(engines);
         for (int i = 0; i < 100; i++) {
             Optional<StageChange> change = mAllocation.nextChange(now, load);
@@ -109,7 +109,7 @@
      */
     @Test
     public void everySplitConvergesNearTheOptimum() {
-        EngineLoad load = load(870, 4_300, LARGE_POOL).orElseThrow();
+        GenerationCost load = load(870, 4_300, LARGE_POOL).orElseThrow();
         for (int size = 2; size < 70; size++) {
             int engines = size;
             for (int prefill = 0; prefill <= size; prefill += Math.max(1, size / 5)) {
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerTest.java
@@ -35,7 +35,7 @@
 
     private static EntryPage<String> page(long revision, boolean more, String... names) {
         return new EntryPage<>(
-                List.of(names).stream().map(n -> new Entry<>(n, Either.right(n))).toList(),
+                List.of(names).stream().map(n -> new StoreEntry<>(n, Either.right(n))).toList(),
                 revision,
                 more);
     }
@@ -83,12 +83,12 @@
     private EntryListener<String> listener() {
         return new EntryListener<>() {
             @Override
-            public void onListing(List<Entry<String>> entries) {
+            public void onListing(List<StoreEntry<String>> entries) {
                 mEvents.add("listed " + entries.size());
             }
 
             @Override
-            public void onChange(Entry<String> entry) {
+            public void onChange(StoreEntry<String> entry) {
                 mEvents.add("changed " + entry.name());
             }
 
@@ -98,7 +98,7 @@
             }
 
             @Override
-            public void onStoreAvailable(long awayMillis) {
+            public void onStoreAvailable(long unavailableMillis) {
                 mEvents.add("regained");
             }
         };
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerWatchTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/store/FollowerWatchTest.java
@@ -27,7 +27,7 @@
     private ScriptedStore mStore;
     private List<String> mEvents;
 
-    private record Page(List<Entry<String>> entries, long revision) {}
+    private record Page(List<StoreEntry<String>> entries, long revision) {}
 
     /** Store whose changes, outages and broken connections are simulated in virtual time. */
     private final class ScriptedStore implements EntrySource<String> {
@@ -103,10 +103,13 @@
             if (revision < mCompactedBefore) {
                 return Either.left(StoreFailure.HISTORY_GONE);
             }
-            List<Entry<String>> entries =
+            List<StoreEntry<String>> entries =
                     mChanges.stream()
                             .filter(change -> change.revision() > revision)
-                            .map(change -> new Entry<>(change.name(), Either.right(change.name())))
+                            .map(
+                                    change ->
+                                            new StoreEntry<>(
+                                                    change.name(), Either.right(change.name())))
                             .toList();
             return Either.right(new Page(entries, mRevision));
         }
@@ -138,12 +141,12 @@
     private EntryListener<String> listener() {
         return new EntryListener<>() {
             @Override
-            public void onListing(List<Entry<String>> entries) {
+            public void onListing(List<StoreEntry<String>> entries) {
                 mEvents.add("listed");
             }
 
             @Override
-            public void onChange(Entry<String> entry) {
+            public void onChange(StoreEntry<String> entry) {
                 mEvents.add(entry.name());
             }
 
@@ -153,7 +156,7 @@
             }
 
             @Override
-            public void onStoreAvailable(long awayMillis) {
+            public void onStoreAvailable(long unavailableMillis) {
                 mEvents.add("regained");
             }
         };
@@ -251,7 +254,7 @@
         mStore.mWatchesBroken = true;
         mStore.change("first");
         mExecutor.advance(MAX_PROPAGATION_MILLIS);
-        Page old = new Page(List.of(new Entry<>("old", Either.right("old"))), 1);
+        Page old = new Page(List.of(new StoreEntry<>("old", Either.right("old"))), 1);
         mStore.mWaiting.forEach(watch -> watch.at().complete(Either.right(old)));
         mExecutor.advance(1);
         // Two watches were pending: the open one and the abandoned one.
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/backend/EngineMonitor.java
@@ -105,7 +105,7 @@
     }
 
     private void onAttempts(BackendSpec engine, List<EngineAttempt> listed, long requestedAt) {
-        mBlackboard.backends().write(table -> table.answered(engine.id()));
+        mBlackboard.backends().write(table -> table.recordResponse(engine.id()));
         mLedgers.observe(engine.id(), observed(listed));
         int running = (int) listed.stream().filter(attempt -> !attempt.ended()).count();
         mListener.onListed(engine.id(), running, requestedAt);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/blackboard/BackendTable.java
@@ -61,7 +61,7 @@
     }
 
     /** Records that a backend server responded. */
-    public void answered(BackendId backend) {
+    public void recordResponse(BackendId backend) {
         entry(backend).mSuspectUntil = 0;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
@@ -130,10 +130,10 @@
         }
 
         private void read(Either<PlatformError, Optional<StoredObject>> response) {
-            response.peekLeft(this::platformUnreachable)
+            response.peekLeft(this::onPlatformUnavailable)
                     .peek(
                             found -> {
-                                mHealth.answered();
+                                mHealth.recordResponse();
                                 run(shard -> shard.onRead(version(found), document(found)));
                             });
         }
@@ -143,7 +143,7 @@
                 failed(response.getLeft());
                 return;
             }
-            mHealth.answered();
+            mHealth.recordResponse();
             if (response.get() instanceof WriteResult.Written written) {
                 run(shard -> shard.onWritten(written.version()));
             } else if (response.get() instanceof WriteResult.Conflict conflict) {
@@ -154,15 +154,15 @@
 
         private void failed(PlatformError error) {
             if (error.mayHaveTakenEffect()) {
-                mHealth.failed(error);
+                mHealth.recordFailure(error);
                 run(ClaimShard::onResponseLost);
             } else {
-                platformUnreachable(error);
+                onPlatformUnavailable(error);
             }
         }
 
-        private void platformUnreachable(PlatformError error) {
-            mHealth.failed(error);
+        private void onPlatformUnavailable(PlatformError error) {
+            mHealth.recordFailure(error);
             run(shard -> shard.onPlatformUnavailable(mClock.millis()));
         }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/ConfigurationDriver.java
@@ -206,7 +206,7 @@
         response.peekLeft(this::platformFailed)
                 .peek(
                         listing -> {
-                            platformAnswered();
+                            onPlatformResponse();
                             perform(
                                     mSync.onListing(
                                             listing.revision(), objects(listing.objects())));
@@ -224,7 +224,7 @@
         response.peekLeft(this::platformFailed)
                 .peek(
                         result -> {
-                            platformAnswered();
+                            onPlatformResponse();
                             perform(
                                     result instanceof WatchResult.Events events
                                             ? mSync.onEvents(
@@ -244,12 +244,12 @@
     }
 
     private void platformFailed(PlatformError error) {
-        mHealth.failed(error);
+        mHealth.recordFailure(error);
         perform(mSync.onPlatformFailed(mClock.millis()));
     }
 
-    private void platformAnswered() {
-        mHealth.answered();
+    private void onPlatformResponse() {
+        mHealth.recordResponse();
         confirmed();
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformHealth.java
@@ -15,7 +15,7 @@
     private final RouterMetrics mMetrics;
     private final Clock mClock;
     private final AtomicBoolean mReachable = new AtomicBoolean(true);
-    private volatile long mUnreachableSince;
+    private volatile long mUnavailableSince;
 
     /**
      * Creates an instance that assumes a reachable platform.
@@ -31,18 +31,18 @@
     }
 
     /** Records a response. */
-    public void answered() {
+    public void recordResponse() {
         if (mReachable.compareAndSet(false, true)) {
-            mLog.log(LogEvent.PLATFORM_REACHABLE, mClock.millis() - mUnreachableSince);
+            mLog.log(LogEvent.PLATFORM_AVAILABLE, mClock.millis() - mUnavailableSince);
         }
     }
 
     /** Records a failed call. */
-    public void failed(PlatformError error) {
+    public void recordFailure(PlatformError error) {
         mMetrics.recordRetry(RetryReason.PLATFORM_CALL_FAILED);
         if (mReachable.compareAndSet(true, false)) {
-            mUnreachableSince = mClock.millis();
-            mLog.log(LogEvent.PLATFORM_UNREACHABLE, error);
+            mUnavailableSince = mClock.millis();
+            mLog.log(LogEvent.PLATFORM_UNAVAILABLE, error);
         }
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/event/LogEvent.java
@@ -122,7 +122,7 @@
             List.of("preset", "previous", "version"),
             "New requests are placed by the new preset.",
             "Nothing."),
-    PLATFORM_UNREACHABLE(
+    PLATFORM_UNAVAILABLE(
             1210,
             WARN,
             "platform unreachable",
@@ -130,7 +130,7 @@
             "Calls to the platform fail; the last configuration stays in force, keyed bookings and"
                     + " changes of configuration are refused.",
             "Restore the platform; see the page on operations, section platform outage."),
-    PLATFORM_REACHABLE(
+    PLATFORM_AVAILABLE(
             1211,
             INFO,
             "platform reachable again",
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/grant/LedgerManager.java
@@ -85,7 +85,8 @@
     public CompletableFuture<GrantResponse> request(GrantRequest request) {
         Optional<HostRecord> owner = spec(request.backend()).flatMap(mHosts::owner);
         if (owner.isEmpty()) {
-            return CompletableFuture.completedFuture(answer(request, GrantDecision.UNAVAILABLE));
+            return CompletableFuture.completedFuture(
+                    grantResponse(request, GrantDecision.UNAVAILABLE));
         }
         if (isSelf(owner.get())) {
             return CompletableFuture.completedFuture(decide(request));
@@ -96,7 +97,7 @@
                                 response.isRight()
                                                 && response.get() instanceof GrantResponse granted
                                         ? granted
-                                        : answer(request, GrantDecision.UNAVAILABLE));
+                                        : grantResponse(request, GrantDecision.UNAVAILABLE));
     }
 
     @Override
@@ -118,11 +119,11 @@
     public GrantResponse decide(GrantRequest request) {
         Optional<BackendSpec> spec = spec(request.backend());
         if (spec.isEmpty() || !mHosts.owns(spec.get())) {
-            return answer(request, GrantDecision.NOT_OWNER);
+            return grantResponse(request, GrantDecision.NOT_OWNER);
         }
         Optional<BackendRole> role = role(request.backend());
         if (role.isEmpty()) {
-            return answer(request, GrantDecision.UNAVAILABLE);
+            return grantResponse(request, GrantDecision.UNAVAILABLE);
         }
         return mBlackboard
                 .grants()
@@ -387,7 +388,7 @@
         return host.incarnation().equals(mHosts.self().incarnation());
     }
 
-    private static GrantResponse answer(GrantRequest request, GrantDecision decision) {
+    private static GrantResponse grantResponse(GrantRequest request, GrantDecision decision) {
         return new GrantResponse(request.attempt(), request.backend(), decision, 0, 0);
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrain.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrainCommand.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.core.outcome.RefusalReason;
 
 /** Marks a backend server as leaving, retrying when concurrent edits change it in the meantime. */
-final class BackendDrain {
+final class BackendDrainCommand {
 
     /**
      * Maximum number of attempts under concurrent edits.
@@ -25,7 +25,7 @@
 
     private final ConfigurationAdmin mAdmin;
 
-    BackendDrain(ConfigurationAdmin admin) {
+    BackendDrainCommand(ConfigurationAdmin admin) {
         mAdmin = admin;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/OperatorApi.java
@@ -34,7 +34,7 @@
     public static final String PREFIX = "/operator/v1";
 
     private final ConfigurationAdmin mAdmin;
-    private final BackendDrain mDrain;
+    private final BackendDrainCommand mDrain;
     private final StatusSource mStatus;
     private final ExplainSource mExplain;
 
@@ -47,7 +47,7 @@
      */
     public OperatorApi(ConfigurationAdmin admin, StatusSource status, ExplainSource explain) {
         mAdmin = admin;
-        mDrain = new BackendDrain(admin);
+        mDrain = new BackendDrainCommand(admin);
         mStatus = status;
         mExplain = explain;
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/FenceStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/FenceStore.java
@@ -42,7 +42,7 @@
      * Writes a status object; completes with whether this write took effect, false also if that is
      * unknown.
      */
-    CompletableFuture<Boolean> take(BackendId engine, long expectedVersion, FenceStatus status) {
+    CompletableFuture<Boolean> acquire(BackendId engine, long expectedVersion, FenceStatus status) {
         WritePrecondition precondition =
                 expectedVersion == 0
                         ? WritePrecondition.absent()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
@@ -113,8 +113,8 @@
             mDrain.end();
         } else if (effect instanceof OrderEffect.ReadStatus) {
             readStatus();
-        } else if (effect instanceof OrderEffect.TakeFence take) {
-            take(take);
+        } else if (effect instanceof OrderEffect.AcquireFence take) {
+            acquireFence(take);
         } else if (effect instanceof OrderEffect.SendOrder order) {
             send(order);
         }
@@ -199,15 +199,15 @@
         perform(effects);
     }
 
-    private void take(OrderEffect.TakeFence take) {
+    private void acquireFence(OrderEffect.AcquireFence take) {
         mServices
                 .fences()
-                .take(mEngine, take.expectedVersion(), take.status())
-                .thenAccept(taken -> mSerial.execute(() -> onTaken(taken)));
+                .acquire(mEngine, take.expectedVersion(), take.status())
+                .thenAccept(taken -> mSerial.execute(() -> onFenceResponse(taken)));
     }
 
-    private void onTaken(boolean taken) {
-        perform(taken ? mController.onFenceTaken(now()) : mController.onFenceUnsure());
+    private void onFenceResponse(boolean taken) {
+        perform(taken ? mController.onFenceAcquired(now()) : mController.onFenceUpdateUncertain());
     }
 
     private void send(OrderEffect.SendOrder order) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestJournal.java
@@ -61,7 +61,7 @@
                         + " blocks");
     }
 
-    void grantAnswered(GrantResponse response) {
+    void grantResponded(GrantResponse response) {
         record(
                 DecisionStep.GRANT_ANSWERED,
                 response.decision()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/RequestRun.java
@@ -89,7 +89,7 @@
                 .request(effect.request())
                 .thenAccept(
                         response -> {
-                            mJournal.grantAnswered(response);
+                            mJournal.grantResponded(response);
                             feed(now -> mMachine.onGrantResponse(response, now));
                         });
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/event/EventLogTest.java
@@ -53,7 +53,7 @@
                         LogFormat.HUMAN,
                         log ->
                                 log.log(
-                                        LogEvent.PLATFORM_UNREACHABLE,
+                                        LogEvent.PLATFORM_UNAVAILABLE,
                                         "x\nCP1901 invariant broken"));
 
         assertEquals(output.lines().count(), 1);
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -65,7 +65,7 @@
     // The service runs the booking and drops the connection before responding. The booking may have
     // run, so the caller gets "unknown", never "not run"; resends at both hosts run nothing again.
     @Test
-    public void lostServiceAnswerIsUnknownAndNeverRunsAgain() {
+    public void lostServiceResponseIsUnknownAndNeverRunsAgain() {
         mFleet.plain(1).loseResponses(1);
         mFleet.plain(2).loseResponses(1);
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -110,7 +110,7 @@
     // The platform is unreachable when a host starts. The host takes the configuration from its
     // peers, with the preset last accepted, and serves; meanwhile, changes are refused as not made.
     @Test
-    public void hostStartsAndServesWhilePlatformIsAway() {
+    public void hostStartsAndServesWhilePlatformIsUnavailable() {
         long baseVersion =
                 mFleet.operator("h1").show("in-force", "preset").path("version").asLong();
         assertEquals(use("h1", "peak", baseVersion).statusCode(), 200);
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
@@ -84,7 +84,7 @@
      * Returns the number of finished responses, all of them complete unless {@link #violations}
      * says otherwise.
      */
-    int completeAnswers() {
+    int completeResponses() {
         return mComplete.get();
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
@@ -44,6 +44,6 @@
         run.run();
 
         assertEquals(run.violations(), List.of(), run + ", violations: " + run.violations());
-        assertTrue(run.completeAnswers() > 0 && run.booked() > 0, run.toString());
+        assertTrue(run.completeResponses() > 0 && run.booked() > 0, run.toString());
     }
 }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/HostSignalTest.java
@@ -32,14 +32,14 @@
     private static final List<String> HOSTS = List.of("h1", "h2", "h3");
 
     private final AtomicBoolean mStopped = new AtomicBoolean();
-    private final AtomicInteger mAnswers = new AtomicInteger();
+    private final AtomicInteger mResponses = new AtomicInteger();
     private List<CompletableFuture<Void>> mCallers = List.of();
     private TestFleet mFleet;
 
     @BeforeMethod
     public void start() {
         mStopped.set(false);
-        mAnswers.set(0);
+        mResponses.set(0);
         mFleet =
                 new TestFleet()
                         .stopGrace(STOP_GRACE_MILLIS)
@@ -68,14 +68,14 @@
                         .toList();
 
         for (String name : HOSTS) {
-            awaitMoreAnswers();
+            awaitMoreResponses();
             HostProcess terminated = mFleet.process(name);
             terminated.terminate();
             assertEquals(terminated.exitCode(), EXIT_AFTER_SIGTERM);
             mFleet.startProcess(name);
             Await.until(name + " is ready again", () -> mFleet.takesCallers(name));
         }
-        awaitMoreAnswers();
+        awaitMoreResponses();
         mStopped.set(true);
 
         mCallers.forEach(CompletableFuture::join);
@@ -100,11 +100,11 @@
                 CompletionText.generate(PROMPT, 5));
     }
 
-    private void awaitMoreAnswers() {
-        int before = mAnswers.get();
+    private void awaitMoreResponses() {
+        int before = mResponses.get();
         Await.until(
                 "every caller makes progress",
-                () -> failed() || mAnswers.get() >= before + 2 * CALLERS);
+                () -> failed() || mResponses.get() >= before + 2 * CALLERS);
         mCallers.stream()
                 .filter(CompletableFuture::isCompletedExceptionally)
                 .forEach(CompletableFuture::join);
@@ -124,7 +124,7 @@
                     200,
                     response.statusCode() == 200 ? "" : describeFailure(host, response));
             assertEquals(Caller.text(response.body()), CompletionText.generate(prompt, TOKENS));
-            mAnswers.incrementAndGet();
+            mResponses.incrementAndGet();
         }
     }
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
@@ -52,7 +52,7 @@
     // continues to its end, since the engine is ordered only when it runs nothing; then it serves
     // in its new role, and nothing was cut off.
     @Test
-    public void engineFinishesAnswersBeforeItsRoleIsSwapped() {
+    public void engineCompletesResponsesBeforeItsRoleIsSwapped() {
         CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeAsync(PROMPT, TOKENS);
         String busy = awaitBusy();
@@ -123,7 +123,7 @@
     // host may send an order, since no fencing token can be taken, and the other engines continue
     // to serve; after the outage the engine is ordered to its requested setup.
     @Test
-    public void noOrderIsSentWhilePlatformIsUnreachable() {
+    public void noOrderIsSentWhilePlatformIsUnavailable() {
         long above = mFleet.engineState("d1").path("fence").asLong() + 50;
         mFleet.platform().outage(Outage.REFUSE);
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PausedHostTest.java
@@ -57,7 +57,7 @@
         HttpResponse<String> again = mFleet.caller("h2").book("k-claimed", "1");
         mFleet.process("h1").resume();
 
-        awaitTrueAnswers("k-claimed", first, again);
+        awaitTrueResponses("k-claimed", first, again);
     }
 
     // As above, but the claim holder is declared dead before the resend and resumes after it. It
@@ -70,7 +70,7 @@
         HttpResponse<String> again = mFleet.caller("h2").book("k-buried", "1");
         mFleet.process("h1").resume();
 
-        awaitTrueAnswers("k-buried", first, again);
+        awaitTrueResponses("k-buried", first, again);
     }
 
     // The call has reached the service, and the host is paused while the service processes it. The
@@ -87,7 +87,7 @@
         HttpResponse<String> late = mFleet.caller("h3").book("k-called", "1");
         mFleet.process("h1").resume();
 
-        awaitTrueAnswers("k-called", first, early, late);
+        awaitTrueResponses("k-called", first, early, late);
         assertEquals(mFleet.runs("k-called"), 1);
     }
 
@@ -159,7 +159,7 @@
 
     /** Waits for a later booking of another key first, so that no call is still in flight. */
     @SafeVarargs
-    private void awaitTrueAnswers(
+    private void awaitTrueResponses(
             String key,
             CompletableFuture<HttpResponse<String>> first,
             HttpResponse<String>... resends) {
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/PlannedStopTest.java
@@ -39,7 +39,7 @@
     // A host is stopped twice while it streams a response. Readiness changes first; the response
     // continues to its end; only then does the host leave.
     @Test
-    public void hostFinishesAnswersBeforeItLeaves() {
+    public void hostCompletesResponsesBeforeItLeaves() {
         CompletableFuture<HttpResponse<String>> response =
                 mFleet.caller("h1").completeAsync(PROMPT, TOKENS);
         Await.until("an engine is busy", () -> mFleet.heldPieces() > 0);
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/RacingEditsTest.java
@@ -59,7 +59,7 @@
         assertEquals(
                 won.path("spec").path("slots").asInt(),
                 (int) Map.of("change-1", 7, "change-2", 9).get(won.path("changeId").asText()));
-        awaitShown(won);
+        awaitReturnedByAllHosts(won);
     }
 
     // Both operators drain the server. One drain is applied; the other finds the server already
@@ -78,10 +78,10 @@
         assertTrue(won.path("spec").path("leaving").asBoolean());
         assertTrue(List.of("drain-1", "drain-2").contains(won.path("changeId").asText()));
         assertEquals(mFleet.platform().revision(), before + 1, "one write");
-        awaitShown(won);
+        awaitReturnedByAllHosts(won);
     }
 
-    private void awaitShown(JsonNode won) {
+    private void awaitReturnedByAllHosts(JsonNode won) {
         for (String host : List.of("h1", "h2")) {
             Await.until(
                     host + " shows " + won,
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/FakeAdmin.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/FakeAdmin.java
@@ -18,7 +18,7 @@
 
     private final Map<ObjectKey, StoredObject> mObjects = new TreeMap<>();
     private long mRevision;
-    private boolean mUnreachable;
+    private boolean mUnavailable;
     private Optional<String> mRacingSpec = Optional.empty();
 
     /** Writes {@code spec} in the name of another operator right before the next change. */
@@ -30,11 +30,11 @@
     void clear() {
         mObjects.clear();
         mRevision = 0;
-        mUnreachable = false;
+        mUnavailable = false;
     }
 
-    void setUnreachable() {
-        mUnreachable = true;
+    void setUnavailable() {
+        mUnavailable = true;
     }
 
     StoredObject write(ObjectKey key, String spec, String change) {
@@ -90,7 +90,7 @@
 
     private <T> CompletableFuture<Either<Refusal, T>> read(T value) {
         return CompletableFuture.completedFuture(
-                mUnreachable
+                mUnavailable
                         ? Either.left(Refusal.of(RefusalReason.PLATFORM_AWAY, "no response"))
                         : Either.right(value));
     }
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
@@ -73,15 +73,15 @@
     @Test
     public void createsShowsListsAndDeletes() {
         AggregatedHttpResponse created = put("service/malt-reader", "{\"a\": 1}", "none", "c-1");
-        JsonNode shown = body(request(HttpMethod.GET, "/objects/service/malt-reader"));
+        JsonNode retrieved = body(request(HttpMethod.GET, "/objects/service/malt-reader"));
         JsonNode listed = body(request(HttpMethod.GET, "/objects/service"));
         AggregatedHttpResponse deleted =
                 send(HttpMethod.DELETE, "/objects/service/malt-reader", "", "1", "c-2");
 
         assertEquals(created.status().code(), 200);
-        assertEquals(shown.path("version").asLong(), 1);
-        assertEquals(shown.path("changeId").asText(), "c-1");
-        assertEquals(shown.path("spec").path("a").asInt(), 1);
+        assertEquals(retrieved.path("version").asLong(), 1);
+        assertEquals(retrieved.path("changeId").asText(), "c-1");
+        assertEquals(retrieved.path("spec").path("a").asInt(), 1);
         assertEquals(listed.path("objects").get(0).path("name").asText(), "malt-reader");
         assertEquals(body(deleted).path("version").asLong(), 2);
         assertEquals(request(HttpMethod.GET, "/objects/service/malt-reader").status().code(), 404);
@@ -142,8 +142,8 @@
     }
 
     @Test
-    public void reportsAnUnreachablePlatform() {
-        mAdmin.setUnreachable();
+    public void reportsUnavailablePlatform() {
+        mAdmin.setUnavailable();
 
         AggregatedHttpResponse response = request(HttpMethod.GET, "/objects/service");
 
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/wholepath/WholePathTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void answersWithoutStreaming() {
+    public void respondsWithoutStreaming() {
         Caller caller = mFleet.caller("h1");
 
         HttpResponse<String> response = caller.complete(PROMPT, 5, false);
--- a/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
+++ b/cyclamenpaddle-routing/src/benchmark/java/org/cyclamenpaddle/routing/benchmark/DecisionBenchmark.java
@@ -52,7 +52,7 @@
     private static final Incarnation HOST = new Incarnation(new HostId("host"), 1);
 
     @Param({"13", "130", "770"})
-    private int mRunners;
+    private int mEngines;
 
     private final UniformRandomProvider mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
     private final List<GrantLedger> mLedgers = new ArrayList<>();
@@ -65,7 +65,7 @@
     @Setup
     public void fill() {
         List<BackendView> views = new ArrayList<>();
-        for (int i = 0; i < mRunners; i++) {
+        for (int i = 0; i < mEngines; i++) {
             BackendSpec spec = spec(i);
             GrantLedger ledger = new GrantLedger(spec, BackendRole.DECODE, LedgerSettings.DEFAULTS);
             for (int held = 0; held < SLOTS * 3 / 2; held++) {
@@ -99,7 +99,7 @@
     /** Requests a grant from the next ledger in turn and releases it. */
     @Benchmark
     public GrantResponse ask() {
-        int turn = (int) (mNumber % mRunners);
+        int turn = (int) (mNumber % mEngines);
         GrantRequest request = ask(mView.decode().get(turn).id(), LATEST_MILLIS);
         GrantResponse response = mLedgers.get(turn).request(request, 0);
         mLedgers.get(turn).release(request.attempt(), -1);
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/ExperimentRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/ExperimentRun.java
@@ -145,7 +145,7 @@
         int host = mRandom.nextInt(mScenario.hosts());
         Incarnation holder = new Incarnation(new HostId("host-" + host), 1);
         mArrived += mLoop.now() >= WARM_UP_MILLIS ? 1 : 0;
-        new RequestRun(this, mWorkload.next(), AttemptId.of(holder, mNumber++), host).start();
+        new SimulatedRequest(this, mWorkload.next(), AttemptId.of(holder, mNumber++), host).start();
     }
 
     private static UniformRandomProvider random(long seed) {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/RequestRun.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/experiment/SimulatedRequest.java
@@ -16,7 +16,7 @@
 import org.cyclamenpaddle.routing.placement.PlacementRequest;
 
 /** Drives one request through the model as its host would. */
-final class RequestRun {
+final class SimulatedRequest {
 
     private static final int MAX_GRANT_REQUESTS = 4;
     private static final int MAX_OTHER_SERVERS = 4;
@@ -37,7 +37,7 @@
     private boolean mAccepted;
     private boolean mDone;
 
-    RequestRun(ExperimentRun run, Workload.Request request, AttemptId attempt, int host) {
+    SimulatedRequest(ExperimentRun run, Workload.Request request, AttemptId attempt, int host) {
         mRun = run;
         mRequest = request;
         mAttempt = attempt;
@@ -189,11 +189,11 @@
         if (mDone) {
             return;
         }
-        BackendId server = mDecodeServer.orElseGet(this::chooseDecode);
+        BackendId server = mDecodeServer.orElseGet(this::selectDecodeServer);
         mRun.loop().after(Scenario.HOP_MILLIS, () -> decodeOn(server));
     }
 
-    private BackendId chooseDecode() {
+    private BackendId selectDecodeServer() {
         return mRun.rankDecode(mPlacement, mHost).get(0).backend();
     }
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/PlacementRound.java
@@ -88,7 +88,7 @@
     }
 
     /** Chooses a prefill server; the grant request is empty if the policy does not use grants. */
-    Either<Refusal, Optional<GrantRequest>> choosePrefill(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> selectPrefillServer(int generated, long now) {
         mDecode = Optional.empty();
         mDecodeChoices = 0;
         return mEnvironment
@@ -98,7 +98,7 @@
     }
 
     /** Chooses a decode server for the prefill server chosen before. */
-    Either<Refusal, Optional<GrantRequest>> chooseDecode(int generated, long now) {
+    Either<Refusal, Optional<GrantRequest>> selectDecodeServer(int generated, long now) {
         long endInMillis = Math.max(0, prefill().readyAtMillis() - now);
         mDecodeChoices++;
         return mEnvironment
@@ -108,22 +108,23 @@
     }
 
     /** Chooses a decode server other than the full one, or the same one if there is no other. */
-    void chooseDecodeAfterFull(long now) {
+    void selectDecodeServerAfterFull(long now) {
         mRefused.add(decode().backend());
-        if (chooseOtherDecode(excluded(), now).isLeft()) {
+        if (selectOtherDecodeServer(excluded(), now).isLeft()) {
             mRefused.clear();
-            chooseOtherDecode(mFailed, now);
+            selectOtherDecodeServer(mFailed, now);
         }
     }
 
     /**
      * Chooses another decode server for an existing prefill result; there is no time for grants.
      */
-    Either<Refusal, PlacedAttempt> chooseOtherDecode(long now) {
-        return chooseOtherDecode(mFailed, now);
+    Either<Refusal, PlacedAttempt> selectOtherDecodeServer(long now) {
+        return selectOtherDecodeServer(mFailed, now);
     }
 
-    private Either<Refusal, PlacedAttempt> chooseOtherDecode(Set<BackendId> excluded, long now) {
+    private Either<Refusal, PlacedAttempt> selectOtherDecodeServer(
+            Set<BackendId> excluded, long now) {
         Either<Refusal, List<Choice>> ranked =
                 mEnvironment.rankDecode(mShape, prefill().backend(), 0, excluded, now);
         ranked.peek(
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -80,7 +80,9 @@
     public List<RequestEffect> start(long now) {
         Invariants.require(mPhase == RequestPhase.NEW, () -> mShape.id() + " started twice");
         mRound.begin(now + mShape.firstTokenMillis());
-        mEnvironment.admit(mShape, now).ifPresentOrElse(this::refuse, () -> placePrefill(now));
+        mEnvironment
+                .admit(mShape, now)
+                .ifPresentOrElse(this::refuse, () -> selectPrefillServer(now));
         return takeEffects();
     }
 
@@ -97,7 +99,7 @@
             tryNextChoice(response.backend(), Optional.of(response), now);
         } else if (mPhase == RequestPhase.PLACING_PREFILL) {
             mRound.prefillGranted(response, now);
-            placeDecode(now);
+            selectDecodeServer(now);
         } else {
             schedulePrefill(mRound.decodeGranted(response, now), now);
         }
@@ -191,7 +193,7 @@
 
     private void timerFired(TimerKind kind, long now) {
         switch (kind) {
-            case PLACE -> placePrefill(now);
+            case PLACE -> selectPrefillServer(now);
             case GRANT -> {
                 PlacedAttempt pending =
                         mPhase == RequestPhase.PLACING_PREFILL ? mRound.prefill() : mRound.decode();
@@ -209,19 +211,19 @@
 
     // Placement
 
-    private void placePrefill(long now) {
+    private void selectPrefillServer(long now) {
         mPhase = RequestPhase.PLACING_PREFILL;
-        mRound.choosePrefill(mSequencer.nextIndex(), now)
+        mRound.selectPrefillServer(mSequencer.nextIndex(), now)
                 .peekLeft(refusal -> placementFailed(refusal, now))
                 .peek(
                         grantRequest ->
                                 grantRequest.ifPresentOrElse(
-                                        this::requestGrant, () -> placeDecode(now)));
+                                        this::requestGrant, () -> selectDecodeServer(now)));
     }
 
-    private void placeDecode(long now) {
+    private void selectDecodeServer(long now) {
         mPhase = RequestPhase.PLACING_DECODE;
-        mRound.chooseDecode(mSequencer.nextIndex(), now)
+        mRound.selectDecodeServer(mSequencer.nextIndex(), now)
                 .peekLeft(refusal -> placementFailed(refusal, now))
                 .peek(
                         grantRequest ->
@@ -244,9 +246,9 @@
         }
         mEffects.add(new RequestEffect.CountRetry(RetryReason.GRANT_REFUSED));
         if (mPhase == RequestPhase.PLACING_DECODE) {
-            placeDecode(now);
+            selectDecodeServer(now);
         } else {
-            placePrefill(now);
+            selectPrefillServer(now);
         }
     }
 
@@ -306,7 +308,7 @@
 
     private void prefillFailed(StepFailure failure, long now) {
         recordFailure(mRound.prefill(), failure, failure.prefillIndicatesCrash(), now);
-        placeAgain(mRound.prefill(), failure.prefillReason(), now);
+        retryPlacement(mRound.prefill(), failure.prefillReason(), now);
     }
 
     // Transfer and decode
@@ -332,7 +334,7 @@
         PlacedAttempt decode = mRound.decode();
         recordFailure(decode, failure, failure.transferIndicatesLostState(), now);
         if (failure == StepFailure.EVICTED || now >= mResultExpiresAtMillis) {
-            placeAgain(decode, RetryReason.RESULT_EVICTED, now);
+            retryPlacement(decode, RetryReason.RESULT_EVICTED, now);
             return;
         }
         if (failure == StepFailure.FULL) {
@@ -342,7 +344,9 @@
         mRound.exclude(decode.backend());
         mEffects.addAll(mHeld.release(decode.attempt()));
         if (retryAllowed(failure.transferReason(), now)) {
-            mRound.chooseOtherDecode(now).peekLeft(this::refuse).peek(placed -> startDecode(now));
+            mRound.selectOtherDecodeServer(now)
+                    .peekLeft(this::refuse)
+                    .peek(placed -> startDecode(now));
         }
     }
 
@@ -358,7 +362,7 @@
         // With grants no other server is tried: an attempt without a grant takes a slot promised to
         // another request, which then is late as well, until promises no longer hold.
         if (!mEnvironment.usesGrants()) {
-            mRound.chooseDecodeAfterFull(now);
+            mRound.selectDecodeServerAfterFull(now);
         }
         setTimer(TimerKind.SLOT, SLOT_RETRY_MILLIS);
     }
@@ -400,7 +404,7 @@
     private void resume(long now) {
         mResumes++;
         if (mResumes > MAX_RESUMES_WITHOUT_TOKEN) {
-            placeAgain(mRound.decode(), RetryReason.DECODE_LOST, now);
+            retryPlacement(mRound.decode(), RetryReason.DECODE_LOST, now);
             return;
         }
         mLastProgressMillis = now;
@@ -421,7 +425,7 @@
         boolean crashed =
                 failure == StepFailure.UNREACHABLE || failure == StepFailure.UNKNOWN_ATTEMPT;
         recordFailure(mRound.decode(), failure, crashed, now);
-        placeAgain(mRound.decode(), RetryReason.DECODE_LOST, now);
+        retryPlacement(mRound.decode(), RetryReason.DECODE_LOST, now);
     }
 
     // Endings
@@ -443,14 +447,14 @@
         }
     }
 
-    private void placeAgain(PlacedAttempt failed, RetryReason reason, long now) {
+    private void retryPlacement(PlacedAttempt failed, RetryReason reason, long now) {
         mRound.exclude(failed.backend());
         countWastedPrefill();
         mEffects.addAll(mHeld.releaseAll());
         if (retryAllowed(reason, now)) {
             mResumes = 0;
             mRound.begin(now + mSettings.recoveryMillis());
-            placePrefill(now);
+            selectPrefillServer(now);
         }
     }
 
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/memory/EnginePoolModel.java
@@ -66,7 +66,8 @@
 
     private record Waiting(long sinceMillis, int host, NewGeneration generation, long length) {}
 
-    private record Generation(long startMillis, NewGeneration generation, long length, int host) {
+    private record SimulatedGeneration(
+            long startMillis, NewGeneration generation, long length, int host) {
 
         long generated(long nowMillis) {
             return Math.min(length, nowMillis - startMillis);
@@ -93,7 +94,7 @@
     private final Shape mShape;
     private final Random mRandom;
     private final Policy mPolicy;
-    private final List<List<Generation>> mEngines = new ArrayList<>();
+    private final List<List<SimulatedGeneration>> mEngines = new ArrayList<>();
     private final List<List<List<RunningGeneration>>> mHistory = new ArrayList<>();
     private final List<OutputLengths> mLengths = new ArrayList<>();
     private final List<Waiting> mWaiting = new ArrayList<>();
@@ -120,11 +121,12 @@
         return new Outcome(mGenerations, mPlaced, mPreempted);
     }
 
-    private static List<RunningGeneration> reports(List<Generation> engine, long nowMillis) {
+    private static List<RunningGeneration> reports(
+            List<SimulatedGeneration> engine, long nowMillis) {
         return engine.stream().map(generation -> generation.reported(nowMillis)).toList();
     }
 
-    private void endAndPreempt(List<Generation> engine, long nowMillis) {
+    private void endAndPreempt(List<SimulatedGeneration> engine, long nowMillis) {
         engine.stream()
                 .filter(generation -> generation.generated(nowMillis) >= generation.length())
                 .forEach(
@@ -135,16 +137,16 @@
                                                 generation.length()));
         engine.removeIf(generation -> generation.generated(nowMillis) >= generation.length());
         while (used(engine, nowMillis) > mShape.memoryTokens()) {
-            Optional<Generation> newest =
+            Optional<SimulatedGeneration> newest =
                     engine.stream()
                             .filter(generation -> generation.exceedsReservation(nowMillis))
-                            .max(Comparator.comparing(Generation::startMillis));
+                            .max(Comparator.comparing(SimulatedGeneration::startMillis));
             engine.remove(newest.orElseThrow());
             mPreempted++;
         }
     }
 
-    private static long used(List<Generation> engine, long nowMillis) {
+    private static long used(List<SimulatedGeneration> engine, long nowMillis) {
         return engine.stream().mapToLong(generation -> generation.held(nowMillis)).sum();
     }
 
@@ -187,8 +189,9 @@
                         mShape.memoryTokens(), mHistory.get(at).get(engine), REPORT_LAG_MILLIS);
         MemoryForecast forecast =
                 new MemoryForecast(mLengths.get(waiting.host()), SAFETY_DEVIATIONS);
-        Generation generation =
-                new Generation(nowMillis, waiting.generation(), waiting.length(), waiting.host());
+        SimulatedGeneration generation =
+                new SimulatedGeneration(
+                        nowMillis, waiting.generation(), waiting.length(), waiting.host());
         long free = mShape.memoryTokens() - used(mEngines.get(engine), nowMillis);
         OptionalLong required = mPolicy.requiredFreeTokens(forecast, report, waiting.generation());
         boolean fits = required.isPresent() && free >= generation.reserved() + required.getAsLong();
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/quarantine/QuarantineRandomTest.java
@@ -34,7 +34,7 @@
      * be the last one, and only the culprit may be refused.
      */
     @Test(dataProvider = "seeds")
-    public void culpritCrashesTwoServersAndNobodyElseIsRefused(long seed) {
+    public void culpritCrashesTwoServersAndNoOtherRequestIsRefused(long seed) {
         UniformRandomProvider random = Fixtures.random(seed);
         Quarantine quarantine = new Quarantine(new QuarantineSettings(2, 10_000_000, 500));
         Quarantine peer = new Quarantine(new QuarantineSettings(2, 10_000_000, 500));
