--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendSpec.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/BackendSpec.java
@@ -11,7 +11,8 @@
  * @param address IP number
  * @param port TCP port, 1 to 65535
  * @param slots requests that it decodes, or calls that it runs, concurrently
- * @param memoryPieces engine memory in pieces of {@value #TOKENS_PER_PIECE} tokens; 0 if plain
+ * @param memoryPieces engine memory in KV cache blocks of {@value #TOKENS_PER_PIECE} tokens; 0 if
+ *     plain
  * @param prefillTokensPerSecond prefill throughput for uncached tokens; 0 if it never prefills
  * @param tokenMillis time between tokens when decoding, in milliseconds; 0 if it never decodes
  * @param linkBytesPerSecond bandwidth of the link over which KV cache is transferred; 0 if plain
@@ -31,7 +32,7 @@
         FencingSupport fencing,
         boolean leaving) {
 
-    /** Tokens whose KV cache occupies one piece of engine memory. */
+    /** Tokens per KV cache block. */
     public static final int TOKENS_PER_PIECE = 4_096;
 
     private static final int MAX_PORT = 65_535;
@@ -61,9 +62,7 @@
         fencing = fencing == null ? FencingSupport.IGNORES : fencing;
     }
 
-    /**
-     * Returns the number of memory pieces that the KV cache of {@code tokens} occupies, rounded up.
-     */
+    /** Returns the number of blocks that the KV cache of {@code tokens} occupies, rounded up. */
     public static int piecesFor(long tokens) {
         return Math.toIntExact((tokens + TOKENS_PER_PIECE - 1) / TOKENS_PER_PIECE);
     }
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PlainCall.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/config/PlainCall.java
@@ -5,7 +5,7 @@
  *
  * @param method HTTP method, upper case
  * @param path path relative to the service, starting with '/'
- * @param repeatable whether the call is idempotent and may be repeated; otherwise it requires an
+ * @param repeatable whether the call is idempotent and may be retried; otherwise it requires an
  *     Idempotency-Key
  * @param timeoutMillis response timeout in milliseconds
  */
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRequest.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/GrantRequest.java
@@ -12,7 +12,7 @@
  * @param backend the backend server
  * @param role the role in which the backend server is used
  * @param tokens uncached tokens to prefill, or tokens expected to be generated
- * @param pieces memory pieces that the attempt occupies
+ * @param pieces KV cache blocks that the attempt occupies
  * @param transferBytes bytes of KV cache transferred over the backend server's link
  * @param neededInMillis earliest time at which the capacity is needed, in milliseconds from now
  * @param latestInMillis latest start that is still useful, in milliseconds from now
--- a/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/LedgerSummary.java
+++ b/cyclamenpaddle-core/src/main/java/org/cyclamenpaddle/core/message/LedgerSummary.java
@@ -10,7 +10,7 @@
  * @param freeInMillis when a decode slot, or the prefill queue, is expected to be free, in
  *     milliseconds from now
  * @param freeSlots slots that are neither in use nor reserved
- * @param freePieces memory pieces that are neither in use nor reserved
+ * @param freePieces KV cache blocks that are neither in use nor reserved
  * @param reachable whether the owner can reach the backend server
  */
 public record LedgerSummary(
--- a/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Cyclamenctl.java
+++ b/cyclamenpaddle-ctl/src/main/java/org/cyclamenpaddle/ctl/command/Cyclamenctl.java
@@ -18,7 +18,7 @@
     private final PrintStream mErr;
 
     /**
-     * Creates a runner.
+     * Creates the command-line program.
      *
      * @param sessionFactory creates the session for the entry hosts that the command line names
      * @param out stream for results
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/http/BackendConnections.java
@@ -19,7 +19,7 @@
  *
  * <p>Reports are read so often that new connections would cost more CPU time than the reads
  * themselves. They are read over keep-alive connections, and retried over a new one if that fails.
- * The same applies to calls that may be repeated, and to a call that follows a response over the
+ * The same applies to calls that may be retried, and to a call that follows a response over the
  * same connection within a second: where new connections are costly, such calls are two thirds of
  * all.
  *
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Returns a client with keep-alive connections, for reads that may be repeated.
+     * Returns a client with keep-alive connections, for reads that may be retried.
      *
      * @param backend the backend server; reads have no timeout unless they set one
      */
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Returns a client with keep-alive connections, for calls that may be repeated.
+     * Returns a client with keep-alive connections, for calls that may be retried.
      *
      * @param address IP address of the backend server; calls have no timeout unless they set one
      * @param port its TCP port
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeStream.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/DecodeStream.java
@@ -91,7 +91,7 @@
         }
     }
 
-    // A response that is not part of the protocol, such as a 500, does not tell what the engine
+    // A response that is not part of the protocol, such as a 500, does not state what the engine
     // holds, so the attempt is treated as one that may still be running.
     private void onErrorResponse(EngineFailure failure) {
         if (failure instanceof EngineFailure.Protocol) {
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineState.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/EngineState.java
@@ -10,7 +10,7 @@
  * @param service the service, if any
  * @param model the loaded model, if any
  * @param role its role, if any
- * @param fence the greatest fencing token that it has seen
+ * @param fence the highest fencing token that it has received
  * @param busy whether it is executing an order
  * @param servesUnordered whether it serves any role until it receives an order
  */
--- a/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
+++ b/cyclamenpaddle-engine/src/main/java/org/cyclamenpaddle/engine/model/HttpEngineClient.java
@@ -121,7 +121,7 @@
     }
 
     // A keep-alive connection may have gone silent or just been closed by the engine, and a healthy
-    // engine would look dead. Only a failure over a new connection is a failure of the engine
+    // engine would appear failed. Only a failure over a new connection is a failure of the engine
     // itself.
     private static boolean mayBeStaleConnection(EngineFailure failure) {
         return failure instanceof EngineFailure.TimedOut
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/HttpEngineClientTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/model/HttpEngineClientTest.java
@@ -160,7 +160,7 @@
     @Test
     public void readOverSilentKeepAliveConnectionIsRetriedOverNewOne() throws Exception {
         // A keep-alive connection responds once and then goes silent, and a healthy engine would be
-        // considered dead. The next read times out on it and must be retried over a new connection,
+        // considered failed. The next read times out on it and must be retried on a new connection,
         // and the silent connection must be closed.
         CountDownLatch closed = new CountDownLatch(1);
         try (RawServer server =
--- a/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
+++ b/cyclamenpaddle-engine/src/test/java/org/cyclamenpaddle/engine/plain/PlainServiceClientTest.java
@@ -61,7 +61,7 @@
     @Test
     public void eachCallOpensItsOwnConnection() throws Exception {
         // If a server closes a keep-alive connection while a call is written to it, the client
-        // can't tell whether the call ran, and a booking could be reported as not run although it
+        // cannot know whether the call ran, and a booking could be reported as not run although it
         // ran. So each call must open a new connection, even to a server that keeps its connections
         // open. The client must close it after the response, or it would stay open indefinitely.
         CountDownLatch closed = new CountDownLatch(CALLS);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingState.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingState.java
@@ -16,7 +16,7 @@
     RAN,
     NOT_RUN,
     UNKNOWN,
-    /** Another attempt holds the key, and the caller was told its known outcome. */
+    /** Another attempt holds the key, and the caller got its known outcome. */
     CLAIMED_ELSEWHERE;
 
     /** Returns whether this state is terminal. */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimMerge.java
@@ -113,7 +113,7 @@
                     () -> existing.get() + " must not change to " + intent.target());
             put(intent, existing);
         } else if (mWriteMayApply && intent.sent() && isFree(existing)) {
-            // The write whose response was lost may still store the claim, and nobody would then
+            // The write whose response was lost may still store the claim, and no host would then
             // release the key. Of two conditional writes on the same base only the first to arrive
             // succeeds.
             put(intent, existing);
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardSettings.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/ClaimShardSettings.java
@@ -11,7 +11,7 @@
  * @param maxCharacters maximum length of a shard's document; the platform accepts one megabyte
  * @param retryMillis retry delay in milliseconds after the platform was unavailable
  * @param flushMillis maximum delay in milliseconds of an outcome that releases no key; if the host
- *     dies within it, the outcome stays unknown
+ *     fails within it, the outcome stays unknown
  */
 public record ClaimShardSettings(
         int shards, long retentionMillis, int maxCharacters, long retryMillis, long flushMillis) {
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/configuration/ConfigurationSync.java
@@ -27,7 +27,7 @@
  *
  * <p>Each host sends heartbeats to its watchers and to one random partner, so that most hosts learn
  * of a change within a few rounds, and the rest soon after. If both watchers of a domain have just
- * died, their failure must be confirmed first, and one listing follows.
+ * failed, their failure must be confirmed first, and one listing follows.
  *
  * <p>Not thread-safe. Every event returns the effects to perform, in order.
  */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopSequence.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/StopSequence.java
@@ -28,7 +28,7 @@
      * @param nowMillis reading of this host's clock
      */
     public List<StopEffect> onSignal(long nowMillis) {
-        // Service managers and operators repeat the signal when a stop takes long. Treating that as
+        // Service managers and operators resend the signal when a stop takes long. Treating that as
         // a forced stop would abort the requests that the stop is waiting for.
         return mStage == StopStage.RUNNING ? enter(StopStage.NOT_READY, nowMillis) : List.of();
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Membership.java
@@ -104,7 +104,7 @@
         }
         Optional<HostRecord> successor = successor(sender);
         if (successor.isPresent()) {
-            // The old process may only have been paused with calls in flight; this response tells
+            // The old process may only have been paused with calls in flight; this response informs
             // it that its successor is running.
             effects.addAll(mWriter.heartbeats(List.of(sender), List.of(successor.get())));
             return effects;
@@ -251,8 +251,8 @@
     }
 
     /**
-     * Returns whether a host died, restarted or went silent within a time span, so that its records
-     * may be lost. Losses from before this host's own start are not known to it.
+     * Returns whether a host failed, restarted or went silent within a time span, so that its
+     * records may be lost. Losses from before this host's own start are not known to it.
      *
      * @param spanMillis length of the span that ends now, in milliseconds
      */
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Suspicion.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/membership/Suspicion.java
@@ -49,7 +49,7 @@
                 && (mReachedByProxy || mPendingResults <= 0 || nowMillis >= mDeadlineMillis);
     }
 
-    /** Returns whether the result of the direct probe is overdue and the probe must be repeated. */
+    /** Returns whether the result of the direct probe is overdue and the probe must be retried. */
     boolean overdue(long nowMillis, long graceMillis) {
         return mDirectResult.isEmpty() && nowMillis >= mDeadlineMillis + graceMillis;
     }
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineReport.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/order/EngineReport.java
@@ -6,7 +6,8 @@
  * Status report of an engine.
  *
  * @param setup its current setup; empty if it has none
- * @param fence highest fencing token that it has seen; 0 if none, or if it ignores fencing tokens
+ * @param fence highest fencing token that it has received; 0 if none, or if it ignores fencing
+ *     tokens
  */
 public record EngineReport(Optional<EngineSetup> setup, long fence) {
 
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/recovery/EngineAttempt.java
@@ -6,7 +6,7 @@
  * An attempt listed by an engine.
  *
  * @param attempt its identifier, which contains the incarnation that started it
- * @param pieces memory pieces that it occupies
+ * @param pieces KV cache blocks that it occupies
  * @param ended whether it has ended
  */
 public record EngineAttempt(AttemptId attempt, int pieces, boolean ended) {
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
@@ -181,7 +181,7 @@
 
     @Test
     public void hostThatSawALossDoesNotReportAKeyAsUnused() {
-        // The host that ran the booking died, and the querying host started after that. Its peers
+        // The host that ran the booking failed, and the querying host started after that. Its peers
         // never had the key but saw the loss, so they must not report it as unused.
         BookingTable table = new BookingTable(1, 1_000);
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/drain/StopSequenceTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/drain/StopSequenceTest.java
@@ -14,7 +14,7 @@
 
     @Test
     public void repeatedSignalAbortsNoRequest() {
-        // An operator stops a host, a long stream delays the stop, and the operator repeats the
+        // An operator stops a host, a long stream delays the stop, and the operator resends the
         // signal. The stream must still complete.
         StopSequence stop = new StopSequence(new StopSettings(100, 50));
         stop.onSignal(0);
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/membership/MembershipTest.java
@@ -120,7 +120,7 @@
 
     @Test
     public void delegateRelaysDeathFromOtherDomainImmediately() {
-        // A host of this domain dies, and only a host of another domain detects it. Its death
+        // A host of this domain fails, and only a host of another domain detects it. Its death
         // notice reaches only this delegate; the owners of the dead host's attempts are other hosts
         // of this domain and must free the engines' memory within two seconds.
         heartbeatFrom(OTHER_DOMAIN_PEER);
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/order/OrderControllerTest.java
@@ -48,7 +48,7 @@
     @Test
     public void pausedHolderDoesNotSendAfterItsLease() {
         // The engine ignores fencing tokens, and the holder is paused between deciding to send an
-        // order and sending it. Its successor has meanwhile waited and changed the engine's setup.
+        // order and sending it. Its successor has by then waited and changed the engine's setup.
         // A late order would revert the engine to a preset that is no longer in force.
         OrderController controller = ordering(100);
 
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingRun.java
@@ -26,7 +26,7 @@
 import org.cyclamenpaddle.fleet.claim.ClaimState;
 
 /**
- * Simulation of bookings whose callers send again through other hosts, while hosts die and pause
+ * Simulation of bookings whose callers send again through other hosts, while hosts fail and pause
  * and the platform is unavailable, slow, and loses responses before or after a write takes effect.
  *
  * <p>Invariants: a key runs at most once; when a booking is refused as not run, no byte of that
--- a/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/ConfigurationTruncation.java
+++ b/cyclamenpaddle-peer/src/main/java/org/cyclamenpaddle/peer/codec/ConfigurationTruncation.java
@@ -10,7 +10,7 @@
 /**
  * Truncates configuration responses to the objects that fit into one frame.
  *
- * <p>Without it, a host that starts while the platform is unreachable and requests all objects from
+ * <p>Without it, a host that starts while the platform is unavailable and requests all objects from
  * a peer would get no response, as they exceed a frame, and would never serve. A partial response
  * is enough, since the next request lists the versions that the host has, and is answered with the
  * rest.
--- a/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
+++ b/cyclamenpaddle-peer/src/test/java/org/cyclamenpaddle/peer/codec/FrameCodecTest.java
@@ -101,7 +101,7 @@
 
     @Test
     public void configurationThatDoesNotFitIsSentInParts() {
-        // A host that starts while the platform is unreachable would never serve if a configuration
+        // A host that starts while the platform is unavailable would never serve if a configuration
         // that exceeds a frame were not sent. Each response must carry the first of the objects
         // that the requester lacks.
         ConfigurationResponse complete = configuration(3_000, 1_000);
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -95,7 +95,7 @@
      * @param settings validated settings
      * @param reader reads the settings file again
      * @param adapter adapter to the deployment's platform
-     * @param log decision log
+     * @param log event log
      */
     public RelayProcess(
             RelaySettings settings,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/Backend.java
@@ -8,8 +8,8 @@
  * Describes a backend server according to its entry in the store.
  *
  * @param id identifies one start of the server
- * @param startedMillis wall clock time at which the server says it started; distinguishes two
- *     incarnations with the same id
+ * @param startedMillis wall clock time at which the server reports to have started; distinguishes
+ *     two incarnations with the same id
  * @param service the service
  * @param address IP address
  * @param port TCP port
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/MovingAverage.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/MovingAverage.java
@@ -4,7 +4,7 @@
  * Exponential moving average that decays towards 0 while no samples are added.
  *
  * <p>The decay lets a server with bad past results be selected again without an explicit reset,
- * because old samples say little about its present condition. Not thread-safe.
+ * because old samples indicate little about its present condition. Not thread-safe.
  */
 final class MovingAverage {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/backend/SendOutcome.java
@@ -19,7 +19,7 @@
     UNKNOWN(true, true),
     /** Bytes were sent and no response arrived before the timeout; the request may have run. */
     SILENT(true, false),
-    /** The caller disconnected first; the outcome says nothing about the server. */
+    /** The caller disconnected first; the outcome is no evidence about the server. */
     ABANDONED(true, false);
 
     private final boolean mMayHaveRun;
@@ -40,7 +40,7 @@
         return this == REJECTED || this == MISDIRECTED || this == SUCCEEDED || this == FAILED;
     }
 
-    /** Returns whether the server may be down or unreachable. */
+    /** Returns whether the server may have crashed or be unreachable. */
     public boolean serverSuspect() {
         return mServerSuspect;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/BackendAttempt.java
@@ -43,7 +43,7 @@
         NEW,
         /** A pooled connection that has just carried a response of the same server. */
         RECENTLY_USED,
-        /** A pooled connection that may be stale; only for requests that may be repeated. */
+        /** A pooled connection that may be stale; only for requests that may be retried. */
         POOLED
     }
 
@@ -222,7 +222,7 @@
      *
      * <p>Safeguard: servers close idle connections, some without notice, and the next write meets a
      * reset. Counted as a failure of the server, it would eject a healthy one. A new connection
-     * shows which case it was; only requests that may be repeated are sent that way.
+     * shows which case it was; only requests that may be retried are sent that way.
      */
     private boolean mayHaveBeenStale(SendOutcome outcome) {
         return mConnection == Connection.POOLED && mHead == null && outcome == SendOutcome.UNKNOWN;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerConnection.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/CallerConnection.java
@@ -8,7 +8,7 @@
  *
  * <p>Safeguard: the HTTP library reports a disconnected caller through the response stream, but
  * only a second after the connection was closed. In that second the request would go on, reserve
- * engine memory and have its prompt prefilled although nobody waits. The close of the channel
+ * engine memory and have its prompt prefilled for a disconnected caller. The close of the channel
  * itself is reported at once.
  */
 final class CallerConnection implements AutoCloseable {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/PrefillExchange.java
@@ -38,7 +38,7 @@
      *
      * <p>Safeguard: after a power loss all hosts forward their callers' requests at once, and
      * prompts queue for a second on healthy engines. A time-out would waste the prefill done so far
-     * and repeat it on decode engines, where it delays generations.
+     * and retry it on decode engines, where it delays generations.
      */
     private static final double QUEUE_TIMEOUT_SHARE = 0.6;
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -22,7 +22,7 @@
  * @param connections connections to backend servers
  * @param backendMessages codec of requests to backend servers
  * @param engineMessages codec of calls about engine memory
- * @param log decision log
+ * @param log event log
  * @param metrics counters
  * @param clock monotonic clock of this host
  * @param random source of uniform numbers from 0 to 1
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/ReservationSearch.java
@@ -20,8 +20,8 @@
  *
  * <p>Each host sees only its own share of an engine's load. Without a reservation, a request whose
  * prompt had been prefilled was often rejected by an engine that appeared to have capacity, and the
- * prefill was wasted. The engine itself is therefore asked for a reservation. When all engines are
- * full, the search repeats as {@link ReservationWait} determines, and then fails.
+ * prefill was wasted. A reservation is therefore requested from the engine itself. When all engines
+ * are full, the search is retried as {@link ReservationWait} determines, and then fails.
  */
 final class ReservationSearch {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostCount.java
@@ -9,7 +9,7 @@
  * Counts the hosts whose entries change regularly; not thread-safe.
  *
  * <p>Entries do not expire by themselves, and the clocks of different hosts are not compared: only
- * the time for which this host has seen an entry unchanged counts.
+ * the time for which this host has observed an entry unchanged counts.
  */
 final class HostCount {
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/host/HostRegistry.java
@@ -54,7 +54,7 @@
      * @param host name of this host
      * @param store store of the entries
      * @param listener receives the number of hosts whenever it changes
-     * @param log decision log
+     * @param log event log
      * @param executor a single thread
      * @param clock steady clock
      * @param random uniformly distributed values from 0 to 1
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/LibraryLog.java
@@ -8,18 +8,18 @@
 import java.util.logging.Logger;
 
 /**
- * Routes warnings of libraries that use {@code java.util.logging} into the decision log.
+ * Routes warnings of libraries that use {@code java.util.logging} into the event log.
  *
  * <p>By default they are written to standard error as free text of two lines each, without a limit
  * and on the thread that logs. As decision lines they are structured, bounded and non-blocking.
  */
 public final class LibraryLog {
 
-    private static final class DecisionLogHandler extends Handler {
+    private static final class EventLogHandler extends Handler {
 
         private final RelayEventLog mLog;
 
-        private DecisionLogHandler(RelayEventLog log) {
+        private EventLogHandler(RelayEventLog log) {
             mLog = log;
             setLevel(Level.WARNING);
         }
@@ -37,12 +37,12 @@
 
         @Override
         public void flush() {
-            // The decision log has its own writer thread.
+            // The event log has its own writer thread.
         }
 
         @Override
         public void close() {
-            // The decision log outlives this handler.
+            // The event log outlives this handler.
         }
     }
 
@@ -54,6 +54,6 @@
         Logger root = Logger.getLogger("");
         Arrays.stream(root.getHandlers()).forEach(root::removeHandler);
         root.setLevel(Level.WARNING);
-        root.addHandler(new DecisionLogHandler(log));
+        root.addHandler(new EventLogHandler(log));
     }
 }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/package-info.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/log/package-info.java
@@ -1,2 +1,2 @@
-/** Decision log: bounded, structured and non-blocking. */
+/** Event log: bounded, structured and non-blocking. */
 package org.cyclamenpaddle.relay.log;
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/CallerReply.java
@@ -22,7 +22,7 @@
         return mStatus;
     }
 
-    /** Returns whether the reply tells the caller its retry delay. */
+    /** Returns whether the reply contains the retry delay for the caller. */
     public boolean hasRetryAfter() {
         return mHasRetryAfter;
     }
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/retry/RetryPolicy.java
@@ -8,7 +8,7 @@
  * Retry policy of one request: decides whether it is sent again and which reply its caller gets.
  *
  * <p>Both depend only on the outcomes of the sends. A request that is not repeatable is never sent
- * again after a send that may have reached a server, and a caller is told "not run" only if no send
+ * again after a send that may have reached a server, and a caller gets "not run" only if no send
  * may have run. Not thread-safe.
  */
 public final class RetryPolicy {
@@ -89,7 +89,7 @@
      * Returns whether a request whose connection broke may resume on the same backend server.
      *
      * <p>Like {@link #resendToSameBackend}, this consumes no attempt; unlike there, the server has
-     * run the request, so its route must allow repeats, and the number of resumes per request is
+     * run the request, so its route must allow retries, and the number of resumes per request is
      * limited.
      */
     public boolean mayResumeOnSameBackend(long nowMillis) {
@@ -115,7 +115,7 @@
     }
 
     /**
-     * Records that the current send is repeated to its server after its connection broke; whatever
+     * Records that the current send is retried to its server after its connection broke; whatever
      * its outcome, the first one may have run.
      */
     public void recordDuplicateSend() {
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/GenerationCost.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/GenerationCost.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Returns the load that a demand puts on an engine.
+     * Returns the cost of the mean generation of a demand.
      *
      * @param demand demand of a mean generation
      * @param profile profile of an engine
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleAllocation.java
@@ -48,15 +48,15 @@
      * Returns the next change of stage.
      *
      * @param engines engines of the service, with their current or pending stages
-     * @param load load of a mean generation; empty until it is known
+     * @param cost cost of a mean generation; empty until it is known
      * @return the change; empty if none is needed
      */
-    public Optional<StageChange> nextChange(List<Backend> engines, Optional<GenerationCost> load) {
+    public Optional<StageChange> nextChange(List<Backend> engines, Optional<GenerationCost> cost) {
         if (engines.size() < 2) {
             return Optional.empty();
         }
         int prefill = (int) count(engines, BackendStage.PREFILL);
-        int target = targetPrefillEngines(engines.size(), prefill, load);
+        int target = targetPrefillEngines(engines.size(), prefill, cost);
         if (prefill > target) {
             return change(engines, BackendStage.PREFILL, BackendStage.DECODE);
         }
@@ -66,8 +66,8 @@
     }
 
     /** Returns how many of {@code engines} should prefill, from 1 to all but one. */
-    int targetPrefillEngines(int engines, int prefill, Optional<GenerationCost> load) {
-        if (load.isEmpty()) {
+    int targetPrefillEngines(int engines, int prefill, Optional<GenerationCost> cost) {
+        if (cost.isEmpty()) {
             return Math.max(
                     1,
                     (engines + INITIAL_ENGINES_PER_PREFILL_ENGINE - 1)
@@ -78,20 +78,20 @@
                         .boxed()
                         .max(
                                 Comparator.comparing(
-                                        split -> generationsPerMilli(engines, split, load.get())))
+                                        split -> generationsPerMilli(engines, split, cost.get())))
                         .orElse(1);
         boolean valid = prefill >= 1 && prefill < engines;
-        double currentRate = valid ? generationsPerMilli(engines, prefill, load.get()) : 0;
-        return generationsPerMilli(engines, bestSplit, load.get()) > currentRate * MIN_GAIN_FACTOR
+        double currentRate = valid ? generationsPerMilli(engines, prefill, cost.get()) : 0;
+        return generationsPerMilli(engines, bestSplit, cost.get()) > currentRate * MIN_GAIN_FACTOR
                 ? bestSplit
                 : prefill;
     }
 
     /** Returns the generations per millisecond that a split can serve. */
-    static double generationsPerMilli(int engines, int prefill, GenerationCost load) {
-        double prefillRate = prefill * MAX_PREFILL_UTILIZATION / load.prefillMillis();
+    static double generationsPerMilli(int engines, int prefill, GenerationCost cost) {
+        double prefillRate = prefill * MAX_PREFILL_UTILIZATION / cost.prefillMillis();
         double decodeRate =
-                (engines - prefill) * MAX_DECODE_UTILIZATION / load.decodeMemoryMillis();
+                (engines - prefill) * MAX_DECODE_UTILIZATION / cost.decodeMemoryMillis();
         return Math.min(prefillRate, decodeRate);
     }
 
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/RoleController.java
@@ -60,7 +60,7 @@
      * @param plan allocation of stages
      * @param orders client for orders to engines
      * @param store store of the lease
-     * @param log decision log
+     * @param log event log
      */
     public record Dependencies(
             BackendRegistry registry,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/Route.java
@@ -10,7 +10,7 @@
  * @param name name in logs
  * @param host host name in lower case, without a port
  * @param pathPrefix prefix of the path; begins and ends with a slash
- * @param kind determines whether requests may be repeated
+ * @param kind determines whether requests may be retried
  * @param timeoutMillis maximum time that a caller waits, in milliseconds
  * @param targetMillis time within which a response, or the first event of a stream, is on time, in
  *     milliseconds
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RouteKind.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/route/RouteKind.java
@@ -1,14 +1,13 @@
 package org.cyclamenpaddle.relay.route;
 
-/** Kind of a route; determines whether its requests may be repeated. */
+/** Kind of a route; determines whether its requests may be retried. */
 public enum RouteKind {
     /** Requests may run more than once. */
     IDEMPOTENT,
     /** Requests run at most once for each attempt of a caller. */
     AT_MOST_ONCE,
     /**
-     * Responses are event streams; requests are repeated only if the route allows streams to
-     * resume.
+     * Responses are event streams; requests are retried only if the route allows streams to resume.
      */
     STREAM;
 
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/BackendRegistryTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/backend/BackendRegistryTest.java
@@ -152,9 +152,9 @@
     }
 
     /**
-     * The store was unavailable and all entries expired meanwhile. Until they return, the servers
-     * known before still receive requests; a server whose entry is missing while others exist
-     * receives none.
+     * The store was unavailable and all entries expired in that time. Until they return, the
+     * servers known before still receive requests; a server whose entry is missing while others
+     * exist receives none.
      */
     @Test
     public void lapsedEntriesAreUsedWhileNoOtherExists() {
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/CallerConnectionTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/front/CallerConnectionTest.java
@@ -13,8 +13,8 @@
 
     /**
      * Failure: a caller disconnects while it waits for a reservation. The library reports it a
-     * second later; by then its prompt has been prefilled and its generation started, although
-     * nobody waits.
+     * second later; by then its prompt has been prefilled and its generation started, although its
+     * caller has disconnected.
      */
     @Test
     public void disconnectIsReportedImmediately() {
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/LibraryLogTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Tests that only warnings and errors of libraries are written to the decision log. */
+/** Tests that only warnings and errors of libraries are written to the event log. */
 public class LibraryLogTest {
 
     @AfterMethod(alwaysRun = true)
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/RelayEventLogTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/log/RelayEventLogTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests that lines are complete and that a blocked reader of the output blocks no request. */
+/** Tests that lines are complete and that a blocked consumer of the output blocks no request. */
 public class RelayEventLogTest {
 
     private final ByteArrayOutputStream mOut = new ByteArrayOutputStream();
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/retry/RetryPolicyTest.java
@@ -13,7 +13,7 @@
 import org.cyclamenpaddle.relay.backend.SendOutcome;
 import org.testng.annotations.Test;
 
-/** Tests which sends {@link RetryPolicy} repeats and which reply a caller gets. */
+/** Tests which sends {@link RetryPolicy} retries and which reply a caller gets. */
 public class RetryPolicyTest {
 
     private static final long TIMEOUT_MILLIS = 1_000;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/assembly/Controllers.java
@@ -210,8 +210,8 @@
     /**
      * Reconciles ledgers and engines immediately after the state of a host has changed.
      *
-     * <p>Two seconds after a host died, its attempts must no longer hold engine memory; waiting for
-     * the next scheduled run would use up a quarter of that time.
+     * <p>Two seconds after a host failed, its attempts must no longer hold engine memory; waiting
+     * for the next scheduled run would use up a quarter of that time.
      */
     private void hostChanged(HostRecord host) {
         HostRecord last = mLastRecords.put(host.incarnation().host(), host);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
@@ -105,7 +105,7 @@
             reply(reply.reply());
         }
         // SendCall, Abort and ReadClaim need no action: connecting and writing are one call, whose
-        // result says whether a byte may have been sent, and the shard itself reads claims back.
+        // result states whether a byte may have been sent, and the shard itself reads claims back.
     }
 
     private void dispatch(BookingEffect.Dispatch dispatch) {
@@ -184,7 +184,7 @@
     }
 
     private void queryPeers(ClaimRequest query) {
-        record(DecisionStep.CLAIM, "platform unreachable, query all hosts");
+        record(DecisionStep.CLAIM, "platform unavailable, query all hosts");
         ClaimResponse local = lookUpLocally(query);
         mServices
                 .claimHolders()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/ClaimStore.java
@@ -72,7 +72,7 @@
         shard(claim).run(shard -> shard.outcome(claim, outcome));
     }
 
-    /** Retries shards that found the platform unreachable. */
+    /** Retries shards that found the platform unavailable. */
     void tick() {
         mShards.values().forEach(shard -> shard.run(machine -> machine.tick(mClock.millis())));
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/PeerClaimHolders.java
@@ -83,7 +83,7 @@
                         .flatMap(response -> response.join().stream())
                         .map(ClaimResponse::state)
                         .collect(Collectors.toList());
-        // Checked after the responses: a host lost meanwhile may have held the claim.
+        // Checked after the responses: a host lost before them may have held the claim.
         boolean complete = states.size() == queries.size() && !hostLostWithin(mRetentionMillis);
         return new PeerStates(states, complete);
     }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/PlainCallsService.java
@@ -43,8 +43,8 @@
      * Creates the service.
      *
      * @param support checks that all caller-facing services share
-     * @param bookings runs calls that must not be repeated
-     * @param repeatable runs calls that may be repeated
+     * @param bookings runs non-idempotent calls
+     * @param repeatable runs idempotent calls
      */
     public PlainCallsService(
             RequestSupport support, Bookings bookings, RepeatableCalls repeatable) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/RequestSupport.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/front/RequestSupport.java
@@ -81,7 +81,7 @@
         return Either.left(Refusal.of(RefusalReason.BAD_BODY, "The body was truncated: " + cause));
     }
 
-    /** Parses an identifier, or returns a refusal that says what is wrong with it. */
+    /** Parses an identifier, or returns a refusal that describes the error. */
     <T> Either<Refusal, T> parseName(String text, Function<String, T> type, String where) {
         try {
             return Either.right(type.apply(text));
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/RouterMetrics.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Counts a request that was answered in full.
+     * Counts a request whose response was complete.
      *
      * @param service service of the request
      * @param withinTargets whether both latency targets were met
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/metric/ServiceMeters.java
@@ -12,8 +12,8 @@
  * one of them.
  *
  * @param requests requests received
- * @param answered requests answered in full
- * @param goodput requests answered in full within both latency targets
+ * @param answered requests whose response was complete
+ * @param goodput requests whose response was complete within both latency targets
  * @param tokens tokens relayed
  * @param prefillTokens uncached prompt tokens computed
  * @param wastedPrefillTokens uncached prompt tokens computed and never used
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ConfigurationAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/ConfigurationAdmin.java
@@ -12,7 +12,7 @@
 /**
  * Reads and changes configuration objects in the platform.
  *
- * <p>Futures never complete exceptionally because the platform is unreachable; that is a refusal
+ * <p>Futures never complete exceptionally because the platform is unavailable; that is a refusal
  * with reason {@code PLATFORM_AWAY}. The outcome of a change whose response was lost is determined
  * by its change id before the future completes. A refusal with outcome {@code UNKNOWN} means that
  * this was not possible.
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
@@ -32,7 +32,7 @@
                 mServices.ledgers().owned().stream()
                         .collect(Collectors.toMap(BackendSpec::id, Function.identity()));
         // The run of an engine that has moved to another owner is retained, since only it knows the
-        // shared slots that could not be released while the platform was unreachable.
+        // shared slots that could not be released while the platform was unavailable.
         mRuns.forEach((id, run) -> stopUnless(owned.containsKey(id), run));
         ConfigurationView view = mServices.blackboard().view();
         owned.values()
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
@@ -27,7 +27,7 @@
  *
  * <p>The engine's ledger is open only while its last report matches the requested setup. An engine
  * that reports no setup and serves without orders matches every requested setup: an order would
- * abort its running work and load a model that it does not need, and so take down a running
+ * abort its running work and load a model that it does not need, and so interrupt a running
  * deployment.
  */
 final class OrderRun {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/EngineFailures.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/request/EngineFailures.java
@@ -30,7 +30,7 @@
      * Maps a failure of the connection to the engine.
      *
      * <p>Each call has its own connection, so a connection that was never established means that
-     * the engine is unreachable; one that broke later says nothing about the engine.
+     * the engine is unreachable; one that broke later is no evidence about the engine.
      */
     static StepFailure fromConnection(EngineFailure failure) {
         if (failure instanceof EngineFailure.Unreachable unreachable) {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/RouterSettings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/settings/RouterSettings.java
@@ -15,7 +15,7 @@
  * @param limits limits on requests of callers
  * @param timing periods and timeouts
  * @param routing how requests are placed
- * @param bookings claims of calls that must not be repeated
+ * @param bookings claims of non-idempotent calls
  * @param log format and level of the log
  */
 public record RouterSettings(
@@ -167,7 +167,7 @@
     }
 
     /**
-     * Claims of calls that must not be repeated.
+     * Claims of non-idempotent calls.
      *
      * @param retentionHours retention period of a claim, in hours
      * @param shards number of objects that claims are distributed over
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/BookingFailureTest.java
@@ -79,7 +79,7 @@
         assertEquals(mFleet.runs("k-cut"), 1);
     }
 
-    // One instance of the service is down. No byte of the call can have been sent to it, so another
+    // One service instance is unreachable. No byte of the call can have been sent to it, so another
     // instance is tried, and the booking runs there once.
     @Test
     public void unreachableInstanceIsSkipped() {
@@ -91,7 +91,7 @@
         assertEquals(mFleet.runs("k-down"), 1);
     }
 
-    // The host that ran the booking dies, and the response with it. A resend at the other host
+    // The host that ran the booking fails, and the response is lost. A resend at the other host
     // finds the claim, cannot query its holder, and reports that the call is not known to have run;
     // it never runs again.
     @Test
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/ConfigurationFailureTest.java
@@ -107,8 +107,8 @@
         awaitInForce("peak");
     }
 
-    // The platform is unreachable when a host starts. The host takes the configuration from its
-    // peers, with the preset last accepted, and serves; meanwhile, changes are refused as not made.
+    // The platform is unavailable when a host starts. The host takes the configuration from its
+    // peers, with the preset last accepted, and serves; changes are refused as not made.
     @Test
     public void hostStartsAndServesWhilePlatformIsUnavailable() {
         long baseVersion =
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosRun.java
@@ -82,7 +82,7 @@
 
     /**
      * Returns the number of finished responses, all of them complete unless {@link #violations}
-     * says otherwise.
+     * reports otherwise.
      */
     int completeResponses() {
         return mComplete.get();
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/FleetChaosTest.java
@@ -34,7 +34,7 @@
         mFleet.close();
     }
 
-    // Engines crash, go silent, lose cancels and stall; the platform becomes unreachable and loses
+    // Engines crash, go silent, lose cancels and stall; the platform becomes unavailable and loses
     // responses; services lose responses; callers stream and book throughout. Every response that
     // finishes is complete, no key runs twice, "not run" is true, and at the end no memory is held.
     @Test
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/failure/OrderTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Tests that engines are reconciled with the preset in force, and that no response is cut off
- * meanwhile.
+ * during the change.
  */
 public class OrderTest {
 
@@ -119,7 +119,7 @@
         assertEquals(cutOff(), 0);
     }
 
-    // While the platform is unreachable, an engine gets a wrong setup from an external order. No
+    // While the platform is unavailable, an engine gets a wrong setup from an external order. No
     // host may send an order, since no fencing token can be taken, and the other engines continue
     // to serve; after the outage the engine is ordered to its requested setup.
     @Test
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/operator/OperatorApiTest.java
@@ -89,7 +89,7 @@
 
     // Two operators edit the same object concurrently. The second change is refused, and the
     // response contains the object as written by the first change, with its change id, so that the
-    // second operator can tell which change was applied.
+    // second operator can determine which change was applied.
     @Test
     public void conflictResponseContainsTheCurrentObject() {
         put("service/malt-reader", "{\"a\": 1}", "none", "c-1");
--- a/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
+++ b/cyclamenpaddle-router/src/test/java/org/cyclamenpaddle/router/order/SlotHoldingTest.java
@@ -65,7 +65,7 @@
         assertEquals(holders(SECOND), 1);
     }
 
-    // A host loses an engine while the platform is unreachable, so its slot cannot be released
+    // A host loses an engine while the platform is unavailable, so its slot cannot be released
     // immediately. The host keeps retrying: after the outage the slot becomes free.
     @Test
     public void slotIsReleasedAfterOutage() {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/OutputLengthEstimator.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/expect/OutputLengthEstimator.java
@@ -11,8 +11,8 @@
  * Estimates the output length of a request from those of completed requests.
  *
  * <p>A team's own requests are the best predictor, but there must be enough of them; otherwise
- * those of the whole service are used, and without any the request's own bound. Old requests expire
- * by halves: of two windows, the older one is dropped when the newer one is full. Memory is
+ * those of the entire service are used, and without any the request's own bound. Old requests
+ * expire by halves: of two windows, the older one is dropped when the newer one is full. Memory is
  * bounded: the least recently used pair of service and team is evicted first. Not thread-safe.
  */
 public final class OutputLengthEstimator {
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/GrantLedger.java
@@ -22,7 +22,7 @@
  *
  * <p>It is soft state: its loss, or two owners for a moment, costs efficiency and not safety, since
  * an engine rejects what it has no capacity for. As far as the ledger knows, its grants never
- * promise more slots or pieces than exist at any time; only reservations from {@link #register} and
+ * promise more slots or blocks than exist at any time; only reservations from {@link #register} and
  * {@link #observe}, and attempts that run longer than expected, can exceed them. Not thread-safe;
  * all methods take readings of one clock.
  */
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SafetyMargin.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/grant/SafetyMargin.java
@@ -4,7 +4,7 @@
  * Safety margin beyond the expected use that a promise must leave, adapted to how scarce slots have
  * been.
  *
- * <p>A broken promise costs little while other servers have free slots, and a whole prefill when
+ * <p>A broken promise costs little while other servers have free slots, and a full prefill when
  * none has. So a ledger that seldom refuses uses the mean alone, and one that refuses most requests
  * uses the largest number of standard deviations. The share of refusals is an exponential moving
  * average. Not thread-safe.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/memory/MemoryForecast.java
@@ -10,7 +10,7 @@
  *
  * <p>Generations grow by a token per step and release all memory at their end. Memory reserved for
  * the longest would be idle for most of the time; memory reserved for the average length alone
- * leads to preemption, which repeats the prefill and interrupts a stream for longer than callers
+ * leads to preemption, which reruns the prefill and interrupts a stream for longer than callers
  * accept. What counts is the future peak of the sum: many of the growing generations end before it
  * is reached.
  *
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/quarantine/Quarantine.java
@@ -16,7 +16,7 @@
  * crash them.
  *
  * <p>Safeguard: a request that crashes each server that runs it, and is sent again by its caller,
- * would take down the pool one server after the other. A single strike proves nothing, since twenty
+ * would crash the pool one server after the other. A single strike proves nothing, since twenty
  * requests get one when one server crashes. So a request with a strike runs on no server that
  * crashed with it and beside no other request with a strike: the next crash then identifies one
  * culprit, and its second strike excludes it from all servers. Not thread-safe.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/request/RequestMachine.java
@@ -274,8 +274,8 @@
      *
      * <p>A request that lost its backend server may wait as long as recovery may take: its caller
      * may already have half of the response. And where owners neither granted nor announced a time,
-     * ledgers are moving to another host, which takes some 100 ms; refusing meanwhile would fail
-     * requests at each planned restart of a host.
+     * ledgers are moving to another host, which takes some 100 ms; refusing during that time would
+     * fail requests at each planned restart of a host.
      */
     private void placementFailed(Refusal refusal, long now) {
         boolean recovering = mPlacements > 0 && refusal.reason().retryable();
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
@@ -4,7 +4,7 @@
  * Computes the retry delay that a rejected caller is given.
  *
  * <p>Capacity becomes free as generations end. A caller that returns before half of an average
- * generation has passed finds nearly the same ones running; after a whole one, most have ended.
+ * generation has passed finds nearly the same ones running; after a full one, most have ended.
  */
 public final class ClientRetryDelay {
 
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
@@ -49,8 +49,8 @@
 
     /**
      * Request that was already sent to an engine and must continue on another one. It may have run,
-     * so its caller cannot be told to retry, and giving it up loses it. It tries often, and for as
-     * long as its caller stays connected.
+     * so its caller cannot be asked to retry, and abandoning it loses it. It tries often, and for
+     * as long as its caller stays connected.
      */
     RETRY {
         @Override
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/UsageProfile.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/schedule/UsageProfile.java
@@ -28,7 +28,7 @@
     private final NavigableMap<Long, Use> mChanges = new TreeMap<>();
 
     /**
-     * Adds the use of one slot and some pieces over an interval.
+     * Adds the use of one slot and some KV cache blocks over an interval.
      *
      * @param startMillis start of use, inclusive
      * @param endMillis end of use, exclusive; nothing is added if not after the start
@@ -43,13 +43,14 @@
     }
 
     /**
-     * Returns the first time from which one slot and {@code pieces} are free for a given duration.
+     * Returns the first time from which one slot and {@code pieces} blocks are free for a given
+     * duration.
      *
      * @param fromMillis earliest time
      * @param holdMillis duration for which they must be free
-     * @param pieces required pieces, at most {@code maxPieces}
+     * @param pieces required KV cache blocks, at most {@code maxPieces}
      * @param maxSlots total slots, at least one
-     * @param maxPieces total pieces
+     * @param maxPieces total KV cache blocks
      */
     public long earliest(
             long fromMillis, long holdMillis, int pieces, int maxSlots, int maxPieces) {
@@ -77,7 +78,7 @@
         return peak(fromMillis, true);
     }
 
-    /** Returns the maximum number of pieces in use at one time from {@code fromMillis} on. */
+    /** Returns the maximum number of blocks in use at one time from {@code fromMillis} on. */
     public int peakPieces(long fromMillis) {
         return peak(fromMillis, false);
     }
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerRandomTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Random grant requests, repeats, late and lost releases, engine lists and changes of owner, over a
+ * Random grant requests, retries, late and lost releases, engine lists and changes of owner, over a
  * full engine whose attempts run for random times.
  */
 public class GrantLedgerRandomTest {
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/grant/GrantLedgerTest.java
@@ -180,7 +180,7 @@
 
     /**
      * A ledger's owner fails. The next owner knows nothing of its promises, gets a request at once,
-     * then reads the engine's list and is told of promises by peers. It must refuse at first:
+     * then reads the engine's list and receives promises from peers. It must refuse at first:
      * granting would promise the same slots twice and waste prefills.
      */
     @Test
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/request/RequestMachineRandomTest.java
@@ -43,7 +43,7 @@
 
     // Each request must end with either the complete response in order or one refusal, never with
     // both or neither. Grants are lost or late, prefills fail, transfers stall, streams break, skip
-    // and repeat, and callers disconnect in any phase, all by a seeded random source. Afterwards no
+    // and retry, and callers disconnect in any phase, all by a seeded random source. Afterwards no
     // engine may hold an attempt and no owner a grant, since nothing would release those of a
     // request that has ended.
     @Test(dataProvider = "faultShares")
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/retry/RetryBudgetTest.java
@@ -13,7 +13,7 @@
     private static final RetryBudget.Settings TENTH = new RetryBudget.Settings(0.1, 0, 5);
 
     /**
-     * Every attempt of ten thousand requests fails, and each failure asks for a retry. Without a
+     * Every attempt of ten thousand requests fails, and each failure requests a retry. Without a
      * budget the failing pool would get twice the load.
      */
     @Test
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineLoad.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineLoad.java
@@ -5,8 +5,8 @@
  *
  * @param slots decode slots
  * @param slotsUsed decode slots in use
- * @param pieces pages of KV cache memory
- * @param piecesUsed pages in use
+ * @param pieces number of KV cache blocks
+ * @param piecesUsed number of KV cache blocks in use
  * @param queuedTokens uncached prompt tokens queued for prefill or being prefilled
  */
 public record EngineLoad(int slots, int slotsUsed, int pieces, int piecesUsed, long queuedTokens) {}
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineSettings.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineSettings.java
@@ -12,8 +12,8 @@
  * Sizes and timing of a simulated engine, in modelled time.
  *
  * @param slots decode slots, the maximum batch size
- * @param pieces KV cache memory, in pages of 4,096 tokens
- * @param cachePieces memory of the prefix cache, in pages, in addition to {@code pieces}
+ * @param pieces KV cache memory, in blocks of 4,096 tokens
+ * @param cachePieces memory of the prefix cache, in blocks, in addition to {@code pieces}
  * @param prefillTokensPerSecond prefill throughput of uncached tokens
  * @param prefillBaseMillis fixed overhead of each prefill, in milliseconds
  * @param tokenMillis duration of a decode step with one attempt, in milliseconds
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/EngineStandin.java
@@ -63,7 +63,7 @@
         return mSettings;
     }
 
-    /** Returns the pages of KV cache memory allocated to attempts. */
+    /** Returns the KV cache blocks allocated to attempts. */
     public int heldPieces() {
         return call(EngineModel::heldPieces).join();
     }
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvMemory.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/engine/KvMemory.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.core.invariant.Invariants;
 
-/** Allocation of KV cache memory to attempts, in pages. */
+/** Allocation of KV cache memory to attempts, in blocks. */
 final class KvMemory {
 
     private final int mCapacity;
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadRun.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/load/LoadRun.java
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Returns the KV cache pages that are still allocated. Polls until there are none or the last
+     * Returns the KV cache blocks that are still allocated. Polls until there are none or the last
      * attempt has passed, since cancels take effect with a delay.
      */
     private int heldPieces() {
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/MergedRuns.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/MergedRuns.java
@@ -25,7 +25,7 @@
  * @param wrong wrong completions in all runs
  * @param duplicated completions with duplicated tokens, in all runs
  * @param cutOff truncated or lost responses, in all runs
- * @param heldPieces KV cache pages still allocated after the runs, summed over all runs
+ * @param heldPieces KV cache blocks still allocated after the runs, summed over all runs
  * @param kills injected engine crashes in all runs
  * @param refusals rejected and truncated calls in all runs, by the reason returned to the caller
  * @param retries retries in all runs, by reason
--- a/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/RunSummary.java
+++ b/cyclamenpaddle-standins/src/main/java/org/cyclamenpaddle/standins/report/RunSummary.java
@@ -23,7 +23,7 @@
  * @param prefilledTokens uncached tokens prefilled by the engines
  * @param wastedTokens prefilled tokens that were never used
  * @param kills injected engine crashes
- * @param heldPieces KV cache pages still allocated after the last call ended
+ * @param heldPieces KV cache blocks still allocated after the last call ended
  * @param firstToken time to first token
  * @param betweenTokens inter-token latency
  */
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ConditionalChange.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ConditionalChange.java
@@ -52,7 +52,7 @@
      * @param changeId id of this change, unique to it
      * @param spec the new spec
      * @param precondition what must hold
-     * @return a left value only if the outcome is unknown or no write was accepted; it tells
+     * @return a left value only if the outcome is unknown or no write was accepted; it states
      *     whether the change may have taken effect
      */
     public CompletableFuture<Either<PlatformError, ChangeResult>> put(
--- a/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectStore.java
+++ b/cyclamenpaddle-store/src/main/java/org/cyclamenpaddle/store/objects/ObjectStore.java
@@ -41,7 +41,7 @@
      * Waits for changes of objects.
      *
      * @param prefix prefix of the keys to watch
-     * @param afterRevision the last revision that the caller has seen
+     * @param afterRevision the last revision that the caller has received
      * @param waitMillis maximum wait for an event, in milliseconds
      */
     CompletableFuture<Either<PlatformError, WatchResult>> watch(
