--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEffect.java
@@ -64,11 +64,11 @@
     record RecordOutcome(ClaimRecord claim, ClaimState outcome) implements BookingEffect {}
 
     /**
-     * Schedule {@link BookingEvent.Wake}.
+     * Schedule {@link BookingEvent.TimerExpired}.
      *
      * @param millis reading of this host's clock
      */
-    record WakeAt(long millis) implements BookingEffect {}
+    record ScheduleTimer(long millis) implements BookingEffect {}
 
     /**
      * Reply to the caller; emitted exactly once.
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingEvent.java
@@ -95,8 +95,8 @@
         }
     }
 
-    /** The time requested by {@link BookingEffect.WakeAt} was reached. */
-    record Wake() implements BookingEvent {}
+    /** The time requested by {@link BookingEffect.ScheduleTimer} was reached. */
+    record TimerExpired() implements BookingEvent {}
 
     /** The caller's deadline expired. */
     record Timeout() implements BookingEvent {}
--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/claim/BookingMachine.java
@@ -17,8 +17,8 @@
 import org.cyclamenpaddle.fleet.claim.BookingEffect.ReadClaim;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.RecordOutcome;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.Reply;
+import org.cyclamenpaddle.fleet.claim.BookingEffect.ScheduleTimer;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.SendCall;
-import org.cyclamenpaddle.fleet.claim.BookingEffect.WakeAt;
 import org.cyclamenpaddle.fleet.claim.BookingEffect.WriteClaim;
 
 /**
@@ -93,7 +93,7 @@
             onClaimHolderUnreachable(effects);
         } else if (event instanceof BookingEvent.PeersResponded responded) {
             onPeerResponses(responded, nowMillis, effects);
-        } else if (event instanceof BookingEvent.Wake) {
+        } else if (event instanceof BookingEvent.TimerExpired) {
             retryClaim(effects);
         } else if (event instanceof BookingEvent.Timeout) {
             onDeadline(nowMillis, effects);
@@ -205,7 +205,7 @@
         switch (response.state()) {
             case RAN -> replay(response.response(), effects);
             case RUNNING, NOT_RUN ->
-                    effects.add(new WakeAt(nowMillis + mSettings.queryIntervalMillis()));
+                    effects.add(new ScheduleTimer(nowMillis + mSettings.queryIntervalMillis()));
             default -> onClaimHolderUnreachable(effects);
         }
     }
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/claim/BookingMachineTest.java
@@ -48,7 +48,7 @@
         BookingMachine call = started();
         on(call, new BookingEvent.ClaimConflict(OTHER));
         on(call, holderResponded(ClaimResponse.State.RUNNING));
-        on(call, new BookingEvent.Wake());
+        on(call, new BookingEvent.TimerExpired());
 
         assertEquals(
                 on(call, new BookingEvent.PlatformUnavailable()),
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
@@ -26,7 +26,7 @@
 import org.cyclamenpaddle.fleet.claim.ClaimShardEffect;
 import org.cyclamenpaddle.fleet.claim.ClaimState;
 
-/** One incarnation of an entry host that accepts bookings, in a {@link BookingRun}. */
+/** One incarnation of an entry host that accepts bookings, in a {@link KeyedCallRun}. */
 final class BookingHost {
 
     static final long DEADLINE_MILLIS = 1_500;
@@ -125,8 +125,9 @@
                 queryClaimHolder(call, query.holder());
             } else if (effect instanceof BookingEffect.QueryPeers) {
                 queryPeers(call);
-            } else if (effect instanceof BookingEffect.WakeAt wake) {
-                feedAfter(wake.millis() - mRun.mQueue.now(), call, new BookingEvent.Wake());
+            } else if (effect instanceof BookingEffect.ScheduleTimer timer) {
+                feedAfter(
+                        timer.millis() - mRun.mQueue.now(), call, new BookingEvent.TimerExpired());
             } else if (effect instanceof BookingEffect.Reply reply) {
                 AttemptId attempt = call.claim().attempt();
                 mCallers.remove(attempt).accept(attempt, reply.reply());
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/assembly/RelayProcess.java
@@ -42,7 +42,7 @@
 import org.cyclamenpaddle.relay.settings.Endpoint;
 import org.cyclamenpaddle.relay.settings.RelaySettings;
 import org.cyclamenpaddle.relay.store.Follower;
-import org.cyclamenpaddle.routing.reservation.ReturningClients;
+import org.cyclamenpaddle.routing.reservation.ReturningCallers;
 
 /** Composes a relay process from its parts, starts it and runs its planned stop. */
 public final class RelayProcess implements AutoCloseable {
@@ -123,7 +123,7 @@
                         mRegistry,
                         mBudget,
                         mDemand,
-                        new Table<>(TableOrder.CALLERS, new ReturningClients()),
+                        new Table<>(TableOrder.CALLERS, new ReturningCallers()),
                         mConnections,
                         adapter.backendMessages(),
                         adapter.engineMessages(),
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayContext.java
@@ -10,7 +10,7 @@
 import org.cyclamenpaddle.relay.role.DemandMeter;
 import org.cyclamenpaddle.relay.wire.BackendMessages;
 import org.cyclamenpaddle.relay.wire.EngineMessages;
-import org.cyclamenpaddle.routing.reservation.ReturningClients;
+import org.cyclamenpaddle.routing.reservation.ReturningCallers;
 
 /**
  * Dependencies shared by the exchanges of all requests.
@@ -31,7 +31,7 @@
         BackendRegistry registry,
         SharedRetryBudget budget,
         DemandMeter demand,
-        Table<ReturningClients> returningClients,
+        Table<ReturningCallers> returningClients,
         BackendConnections connections,
         BackendMessages backendMessages,
         EngineMessages engineMessages,
--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/front/RelayRequest.java
@@ -8,7 +8,7 @@
 import org.cyclamenpaddle.relay.route.EngineProfile;
 import org.cyclamenpaddle.relay.route.Route;
 import org.cyclamenpaddle.relay.wire.CallerRequest;
-import org.cyclamenpaddle.routing.reservation.ClientRetryDelay;
+import org.cyclamenpaddle.routing.reservation.CallerRetryDelay;
 
 /**
  * A request with the configuration that applies to it.
@@ -40,6 +40,6 @@
             return Math.max(1, (long) (route.targetMillis() * RETRY_TARGET_SHARE));
         }
         double averageMillis = demand.of(service).map(Demand::decodeMillis).orElse(0.0);
-        return ClientRetryDelay.minMillis(averageMillis, route.terms());
+        return CallerRetryDelay.minMillis(averageMillis, route.terms());
     }
 }
--- a/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/LeaseTest.java
+++ b/cyclamenpaddle-relay/src/test/java/org/cyclamenpaddle/relay/role/LeaseTest.java
@@ -81,7 +81,7 @@
      * expired.
      */
     @Test
-    public void frozenHolderDoesNotOrderWhenItWakes() {
+    public void pausedHolderDoesNotOrderAfterResuming() {
         Store store = new Store();
         Lease lease = new Lease("h");
         lease.observe(Optional.empty(), 0);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/Bookings.java
@@ -77,7 +77,7 @@
         BookingMachine machine =
                 new BookingMachine(
                         claim(call), BookingSettings.DEFAULTS, now + call.call().timeoutMillis());
-        BookingRun run = new BookingRun(call, mServices, machine, mSerial, this::lookUp);
+        KeyedCallRun run = new KeyedCallRun(call, mServices, machine, mSerial, this::lookUp);
         mInFlight.incrementAndGet();
         mSerial.execute(
                 () -> {
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/BookingRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/KeyedCallRun.java
@@ -24,7 +24,7 @@
 import org.cyclamenpaddle.router.worker.SerialExecutor;
 
 /** Runs one keyed call: feeds events to its state machine and performs the resulting effects. */
-final class BookingRun {
+final class KeyedCallRun {
 
     /** Maximum duration of a query to the peers after the deadline. */
     private static final long PEER_QUERY_MILLIS = 400;
@@ -45,7 +45,7 @@
         ClaimResponse lookUp(ClaimRequest query, Optional<AttemptId> querying);
     }
 
-    BookingRun(
+    KeyedCallRun(
             Bookings.KeyedCall call,
             BookingServices services,
             BookingMachine machine,
@@ -98,9 +98,9 @@
             queryPeers(query.request());
         } else if (effect instanceof BookingEffect.RecordOutcome outcome) {
             mServices.claims().writeOutcome(outcome.claim(), outcome.outcome());
-        } else if (effect instanceof BookingEffect.WakeAt wake) {
-            long delay = Math.max(0, wake.millis() - mServices.clock().millis());
-            mServices.workers().schedule(delay, () -> feed(new BookingEvent.Wake()));
+        } else if (effect instanceof BookingEffect.ScheduleTimer timer) {
+            long delay = Math.max(0, timer.millis() - mServices.clock().millis());
+            mServices.workers().schedule(delay, () -> feed(new BookingEvent.TimerExpired()));
         } else if (effect instanceof BookingEffect.Reply reply) {
             reply(reply.reply());
         }
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderRun.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderControllerRun.java
@@ -30,7 +30,7 @@
  * abort its running work and load a model that it does not need, and so interrupt a running
  * deployment.
  */
-final class OrderRun {
+final class OrderControllerRun {
 
     private static final OrderSettings SETTINGS = new OrderSettings(5_000, 30_000, 250);
     private static final RolloutBudget ROLLOUT = new RolloutBudget(25);
@@ -47,7 +47,7 @@
     private Optional<EngineSetup> mRequestedSetup = Optional.empty();
     private boolean mRereadState;
 
-    OrderRun(OrderServices services, BackendSpec spec) {
+    OrderControllerRun(OrderServices services, BackendSpec spec) {
         mServices = services;
         mEngine = spec.id();
         mSpec = spec;
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/OrderDriver.java
@@ -15,7 +15,7 @@
 public final class OrderDriver implements AttemptsListener {
 
     private final OrderServices mServices;
-    private final Map<BackendId, OrderRun> mRuns = new ConcurrentHashMap<>();
+    private final Map<BackendId, OrderControllerRun> mRuns = new ConcurrentHashMap<>();
 
     /**
      * Creates a driver that manages no engines yet.
@@ -39,7 +39,8 @@
                 .forEach(
                         spec ->
                                 mRuns.computeIfAbsent(
-                                                spec.id(), id -> new OrderRun(mServices, spec))
+                                                spec.id(),
+                                                id -> new OrderControllerRun(mServices, spec))
                                         .tick(spec, requestedSetup(view, spec)));
     }
 
@@ -49,7 +50,7 @@
                 .ifPresent(run -> run.onListed(running, requestedAtMillis));
     }
 
-    private static void stopUnless(boolean owned, OrderRun run) {
+    private static void stopUnless(boolean owned, OrderControllerRun run) {
         if (!owned) {
             run.stop();
         }
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelay.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/CallerRetryDelay.java
@@ -6,7 +6,7 @@
  * <p>Capacity becomes free as generations end. A caller that returns before half of an average
  * generation has passed finds nearly the same ones running; after a full one, most have ended.
  */
-public final class ClientRetryDelay {
+public final class CallerRetryDelay {
 
     /** Minimum retry delay as a share of an average generation's duration. */
     private static final double MIN_GENERATION_SHARE = 0.6;
@@ -14,7 +14,7 @@
     /** Minimum retry delay as a share of the silence timeout, until generations have ended. */
     private static final double DEFAULT_SILENCE_SHARE = 0.6;
 
-    private ClientRetryDelay() {}
+    private CallerRetryDelay() {}
 
     /**
      * Returns the minimum retry delay in milliseconds; the maximum is twice as long.
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/RetryStage.java
@@ -22,7 +22,7 @@
     },
 
     /**
-     * Request of a client that returns after a refusal. It has missed its target, and all capacity
+     * Request of a caller that returns after a refusal. It has missed its target, and all capacity
      * that it takes makes another request late: it tries rarely and requires more free memory than
      * it needs. Only at the end of its wait, when it would be refused for good, does it try like
      * others.
@@ -71,11 +71,11 @@
     static final long MIN_PAUSE_MILLIS = 25;
 
     /**
-     * Pause of a returning client's request, in milliseconds: a sixteenth of the rate of others.
+     * Pause of a returning caller's request, in milliseconds: a sixteenth of the rate of others.
      */
     static final long RETURNING_PAUSE_MILLIS = 16 * MIN_PAUSE_MILLIS;
 
-    /** Final share of its wait in which a returning client's request tries as often as others. */
+    /** Final share of its wait in which a returning caller's request tries as often as others. */
     static final double RETURNING_FINAL_SHARE = 0.2;
 
     /**
@@ -85,7 +85,7 @@
     private static final double FIRST_WAIT_SHARE = 0.55;
 
     /**
-     * Share of the silence timeout that a returning client's request may wait; the rest is for
+     * Share of the silence timeout that a returning caller's request may wait; the rest is for
      * prefill.
      */
     private static final double RETURNING_WAIT_SHARE = 0.78;
--- a/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningClients.java
+++ b/cyclamenpaddle-routing/src/main/java/org/cyclamenpaddle/routing/reservation/ReturningCallers.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Distinguishes new requests from those of clients that return after a refusal.
+ * Distinguishes new requests from those of callers that return after a refusal.
  *
  * <p>A caller sends how long it will still wait. For a new request that is nearly the longest wait
- * of its route; for a returning client it is shorter by the time already spent. The longest wait is
+ * of its route; for a returning caller it is shorter by the time already spent. The longest wait is
  * learned, since callers differ and the configuration does not state it. Not thread-safe.
  */
-public final class ReturningClients {
+public final class ReturningCallers {
 
     /**
      * Time after which older, longer waits are dropped, in milliseconds: several times a wait, so
@@ -36,7 +36,7 @@
     private final Map<String, LongestWait> mLongestWaits = new HashMap<>();
 
     /**
-     * Records a request's wait and returns whether its client returns after a refusal.
+     * Records a request's wait and returns whether its caller returns after a refusal.
      *
      * @param route its route
      * @param waitMillis how long its caller will still wait
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ClientRetryDelayTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/CallerRetryDelayTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Tests the retry delay of rejected callers. */
-public class ClientRetryDelayTest {
+public class CallerRetryDelayTest {
 
     private static final CallerLimits LIMITS = new CallerLimits(900, 3_600);
 
@@ -17,23 +17,23 @@
      */
     @Test
     public void waitFollowsHowLongGenerationsTake() {
-        assertEquals(ClientRetryDelay.minMillis(5_000, LIMITS), 3_000);
-        assertEquals(ClientRetryDelay.minMillis(1_000, LIMITS), 600);
+        assertEquals(CallerRetryDelay.minMillis(5_000, LIMITS), 3_000);
+        assertEquals(CallerRetryDelay.minMillis(1_000, LIMITS), 600);
     }
 
     /** Before any generation has ended, the delay stays below the silence timeout. */
     @Test
     public void firstWaitIsBelowSilenceTimeout() {
-        long min = ClientRetryDelay.minMillis(0, LIMITS);
+        long min = CallerRetryDelay.minMillis(0, LIMITS);
         assertTrue(min > 0 && min < LIMITS.silenceMillis(), "delay " + min);
     }
 
     /**
-     * A returning client leaves free memory for others until the end of its wait; other requests
+     * A returning caller leaves free memory for others until the end of its wait; other requests
      * never do.
      */
     @Test
-    public void onlyReturningClientsLeaveHeadroomExceptAtEndOfWait() {
+    public void onlyReturningCallersLeaveHeadroomExceptAtEndOfWait() {
         ReservationWait returning = ReservationWait.begin(0, LIMITS, RetryStage.RETURNING);
         assertTrue(returning.leavesHeadroom(0));
         assertTrue(!returning.leavesHeadroom(returning.waitMillis() - 1));
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservationWaitLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservationWaitLoadTest.java
@@ -54,7 +54,7 @@
     /*
      * During the burst half of the requests get no reservation in time, are refused and return,
      * while others still arrive. The next request sent after capacity becomes free gets it.
-     * Returning clients that try as often as the rest take most of it and delay requests that could
+     * Returning callers that try as often as the rest take most of it and delay requests that could
      * be in time, so that the lateness of a six-second burst persists for the rest of the day.
      */
     @Test
@@ -84,9 +84,9 @@
         assertTrue(paced.servedShare() > 0.97, "served " + paced.servedShare());
     }
 
-    /** A returning client's request tries often again before it would be refused for good. */
+    /** A returning caller's request tries often again before it would be refused for good. */
     @Test
-    public void returningClientRetriesOftenAtEndOfWait() {
+    public void returningCallerRetriesOftenAtEndOfWait() {
         ReservationWait search = ReservationWait.begin(0, LIMITS, RetryStage.RETURNING);
         long finalMillis = (long) (search.waitMillis() * RetryStage.RETURNING_FINAL_SHARE);
         long finalFrom = search.waitMillis() - finalMillis;
@@ -142,7 +142,7 @@
                 long returnsAt =
                         now
                                 + (long)
-                                        (ClientRetryDelay.minMillis(GENERATION_MILLIS, LIMITS)
+                                        (CallerRetryDelay.minMillis(GENERATION_MILLIS, LIMITS)
                                                 * (1 + random.nextDouble()));
                 requests.add(
                         new ReserveRequest(
--- a/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservePacingLoadTest.java
+++ b/cyclamenpaddle-routing/src/test/java/org/cyclamenpaddle/routing/reservation/ReservePacingLoadTest.java
@@ -34,9 +34,9 @@
                 requests + " requests with " + engines + " engines");
     }
 
-    /** Returning clients took capacity from requests that could still be served in time. */
+    /** Returning callers took capacity from requests that could still be served in time. */
     @Test(dataProvider = "fleets")
-    public void returningClientReservesAtLowerRateThanFirstRequest(int engines) {
+    public void returningCallerReservesAtLowerRateThanFirstRequest(int engines) {
         double first = rate(engines, RetryStage.FIRST);
         double returning = rate(engines, RetryStage.RETURNING);
         assertTrue(returning < first / 2, returning + " requests per ms against " + first);
