--- a/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
+++ b/cyclamenpaddle-relay/src/main/java/org/cyclamenpaddle/relay/role/Lease.java
@@ -78,7 +78,7 @@
      */
     public OptionalLong fencingToken(long nowMillis, long wallMillis) {
         return mHeld.filter(held -> isValid(held, nowMillis, wallMillis)).stream()
-                .mapToLong(held -> held.lease().record().fencingToken())
+                .mapToLong(held -> held.lease().record().fence())
                 .findFirst();
     }
 
@@ -100,7 +100,7 @@
             LeaseRecord old = mHeld.get().lease().record();
             return Optional.of(
                     new LeaseWrite(
-                            new LeaseRecord(mSelf, old.fencingToken(), old.heartbeat() + 1),
+                            new LeaseRecord(mSelf, old.fence(), old.beat() + 1),
                             OptionalLong.of(mHeld.get().lease().revision())));
         }
         if (mObserved.isEmpty()) {
@@ -111,7 +111,7 @@
         return abandoned
                 ? Optional.of(
                         new LeaseWrite(
-                                new LeaseRecord(mSelf, old.record().fencingToken() + 1, 0),
+                                new LeaseRecord(mSelf, old.record().fence() + 1, 0),
                                 OptionalLong.of(old.revision())))
                 : Optional.empty();
     }
