--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/booking/RepeatableCalls.java
@@ -28,7 +28,7 @@
  */
 public final class RepeatableCalls {
 
-    private static final int MAX_ATTEMPTS = 3;
+    private static final int ATTEMPT_LIMIT = 3;
 
     private final PlainBackendSelector mSelector;
     private final PlainServiceClient mClient;
@@ -134,7 +134,7 @@
         if (result instanceof PlainResult.NothingSent) {
             mSelector.onUnreachable(backend.id());
         }
-        if (tried.size() >= MAX_ATTEMPTS || !takeRetry(call)) {
+        if (tried.size() >= ATTEMPT_LIMIT || !takeRetry(call)) {
             return refused(RefusalReason.BACKEND_FAILED);
         }
         mMetrics.recordRetry(RetryReason.REPEATABLE_CALL_FAILED);
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/configuration/PlatformAdmin.java
@@ -42,7 +42,7 @@
  */
 public final class PlatformAdmin implements ConfigurationAdmin {
 
-    private static final int MAX_ATTEMPTS = 5;
+    private static final int ATTEMPT_LIMIT = 5;
     private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ObjectStore mStore;
@@ -60,7 +60,7 @@
     public PlatformAdmin(ObjectStore store, ConfigurationCodec codec, ConfigurationDriver driver) {
         mStore = store;
         mCodec = codec;
-        mChange = new ConditionalChange(store, codec, MAX_ATTEMPTS, RETRY_DELAY_MILLIS);
+        mChange = new ConditionalChange(store, codec, ATTEMPT_LIMIT, RETRY_DELAY_MILLIS);
         mDriver = driver;
     }
 
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrainCommand.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/operator/BackendDrainCommand.java
@@ -19,7 +19,7 @@
      * drain does not depend on the version. Each attempt starts from the current version, so that
      * the other edit is preserved.
      */
-    private static final int MAX_ATTEMPTS = 4;
+    private static final int ATTEMPT_LIMIT = 4;
 
     private static final String LEAVING = "leaving";
 
@@ -30,7 +30,7 @@
     }
 
     CompletableFuture<Either<ChangeRefusal, StoredObject>> drain(ObjectKey key, ChangeId change) {
-        return drain(key, change, MAX_ATTEMPTS);
+        return drain(key, change, ATTEMPT_LIMIT);
     }
 
     private CompletableFuture<Either<ChangeRefusal, StoredObject>> drain(
--- a/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
+++ b/cyclamenpaddle-router/src/main/java/org/cyclamenpaddle/router/order/SlotStore.java
@@ -17,7 +17,7 @@
 /** Acquires and releases shared slots by conditional updates in the platform. */
 public final class SlotStore {
 
-    private static final int MAX_ATTEMPTS = 5;
+    private static final int ATTEMPT_LIMIT = 5;
 
     private final ObjectStore mStore;
     private final Incarnation mSelf;
@@ -41,12 +41,12 @@
 
     /** Acquires a slot; completes with whether it is held, false also if that is unknown. */
     CompletableFuture<Boolean> acquire(String path, BackendId engine, int limit) {
-        return change(path, slots -> slots.acquire(engine, mSelf, limit, mStanding), MAX_ATTEMPTS);
+        return change(path, slots -> slots.acquire(engine, mSelf, limit, mStanding), ATTEMPT_LIMIT);
     }
 
     /** Releases a slot; completes with true only if this host certainly no longer holds it. */
     CompletableFuture<Boolean> release(String path, BackendId engine) {
-        return change(path, slots -> Optional.of(slots.release(engine, mSelf)), MAX_ATTEMPTS);
+        return change(path, slots -> Optional.of(slots.release(engine, mSelf)), ATTEMPT_LIMIT);
     }
 
     private CompletableFuture<Boolean> change(
