--- a/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
+++ b/cyclamenpaddle-fleet/src/main/java/org/cyclamenpaddle/fleet/drain/DrainEffect.java
@@ -2,7 +2,7 @@
 
 import org.cyclamenpaddle.core.id.BackendId;
 
-/** Actions that the owner of a ledger performs on behalf of {@link BackendDrainCommand}. */
+/** Actions that the owner of a ledger performs on behalf of {@link BackendDrain}. */
 public sealed interface DrainEffect {
 
     /**
--- a/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
+++ b/cyclamenpaddle-fleet/src/test/java/org/cyclamenpaddle/fleet/simulation/BookingHost.java
@@ -26,7 +26,7 @@
 import org.cyclamenpaddle.fleet.claim.ClaimShardEffect;
 import org.cyclamenpaddle.fleet.claim.ClaimState;
 
-/** One incarnation of an entry host that accepts bookings, in a {@link KeyedCallRun}. */
+/** One incarnation of an entry host that accepts bookings, in a {@link BookingRun}. */
 final class BookingHost {
 
     static final long DEADLINE_MILLIS = 1_500;
